--- a/features/steps/platformPrograms.steps.ts
+++ b/features/steps/platformPrograms.steps.ts
@@ -7,7 +7,7 @@
 import { ConfigurationProof } from '@laburnumstream/decisions';
 import { FleetFeed, FleetState } from '@laburnumstream/forwarding';
 import { FleetDatagrams } from '@laburnumstream/links';
-import { StoreClient, fleetKeys } from '@laburnumstream/platform';
+import { StoreClient, storeCodec } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { PlatformStore } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
@@ -110,7 +110,7 @@
   Object.assign(world, { feedState: new FleetState(metrics, quiet, () => undefined) });
   const feed = new FleetFeed(
     new StoreClient(world.programStore.address),
-    fleetKeys,
+    storeCodec,
     world.feedState,
     new ConfigurationProof(4_600, 2_500),
     new SleepAwareClock(clock),
--- a/features/support/platformFleet.ts
+++ b/features/support/platformFleet.ts
@@ -2,7 +2,7 @@
 import { SeededRandom } from '@laburnumstream/common';
 import type { ForwarderSettings } from '@laburnumstream/common';
 import { ForwardingEntry } from '@laburnumstream/forwarding';
-import { StoreClient, fleetKeys, platformHeaders } from '@laburnumstream/platform';
+import { StoreClient, storeCodec, platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { PlatformEngine, PlatformStore } from '@laburnumstream/standins';
 import type { Behaviour } from '@laburnumstream/standins';
@@ -128,7 +128,7 @@
     const entry = new ForwardingEntry({
       settings: this.settings,
       store: new StoreClient(this.store.address),
-      fleetCodec: fleetKeys,
+      fleetCodec: storeCodec,
       headerCodec: platformHeaders,
       clock: new SystemClock(),
       random: new SeededRandom(7),
