--- a/bench/src/mutations/soakMutations.ts
+++ b/bench/src/mutations/soakMutations.ts
@@ -60,7 +60,7 @@
   {
     name: 'digest of a piece',
     file: 'packages/sidecar/dist/versionFetch.js',
-    find: 'if (digestOf(bytes) !== this.held.manifest.digests[piece])',
+    find: 'if (sha256Hex(bytes) !== this.held.manifest.digests[piece])',
     replace: 'if (false)',
     test,
     soak: soak('originCorrupts'),
--- a/features/steps/timeouts.steps.ts
+++ b/features/steps/timeouts.steps.ts
@@ -8,7 +8,7 @@
 import { timeLimit } from '@laburnumstream/common';
 import { EngineClient, StoreClient } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
-import { EngineWatch } from '@laburnumstream/sidecar';
+import { EngineMonitor } from '@laburnumstream/sidecar';
 
 interface TimeoutsWorld {
   silent: Server;
@@ -80,7 +80,7 @@
   async function call(this: TimeoutsWorld) {
     const owner = new AbortController();
     const client = new EngineClient(addressOf(this.silent));
-    assert.ok(await ends(client.state(owner.signal), 4_000), 'the call is still waiting');
+    assert.ok(await ends(client.getState(owner.signal), 4_000), 'the call is still waiting');
   },
 );
 
@@ -91,9 +91,9 @@
     const log = { debug: quiet, info: quiet, warn: quiet, error: quiet };
     const engine = new EngineClient(addressOf(this.silent));
     const metrics = new HistogramMetrics();
-    const watching = new EngineWatch(engine, new SystemClock(), metrics, log, quiet);
+    const watching = new EngineMonitor(engine, new SystemClock(), metrics, log, quiet);
     const owner = new AbortController();
-    assert.ok(await ends(watching.ask(owner.signal), 2_000), 'the question is still waiting');
+    assert.ok(await ends(watching.poll(owner.signal), 2_000), 'the question is still waiting');
   },
 );
 
--- a/features/support/answerReaders.ts
+++ b/features/support/answerReaders.ts
@@ -65,12 +65,12 @@
     return undefined;
   },
   'the client of the origin': async (address) =>
-    textOf(await new OriginClient().piece(address, 'm', 1, 0)),
+    textOf(await new OriginClient().getPiece(address, 'm', 1, 0)),
   'the client of an engine': async (address) =>
-    textOf(await new EngineClient(address).stagedPiece('m', 0)),
+    textOf(await new EngineClient(address).getStagedPiece('m', 0)),
   'the client of other agents': async (address) => {
     const [host = '', port] = address.split(':');
     const signal = AbortSignal.timeout(timeoutMs);
-    return textOf(await new PeerClient(Number(port)).piece(host, 1, 0, signal));
+    return textOf(await new PeerClient(Number(port)).getPiece(host, 1, 0, signal));
   },
 };
--- a/features/support/pieceSource.ts
+++ b/features/support/pieceSource.ts
@@ -7,14 +7,14 @@
 
   private reads = 0;
 
-  manifest(_address: string, name: string, version: number): Promise<PieceManifest> {
+  getManifest(_address: string, name: string, version: number): Promise<PieceManifest> {
     const digests = Array.from({ length: testVersion.pieces }, (_, piece) =>
       digestOf(contentOf(version, piece)),
     );
     return Promise.resolve({ model: name, version, digests });
   }
 
-  piece(_address: string, _model: string, version: number, piece: number): Promise<Uint8Array> {
+  getPiece(_address: string, _model: string, version: number, piece: number): Promise<Uint8Array> {
     this.reads += 1;
     const isWrong = this.reads % this.wrongEach === 0;
     return Promise.resolve(isWrong ? Buffer.from('wrong') : contentOf(version, piece));
--- a/features/support/stagingEngine.ts
+++ b/features/support/stagingEngine.ts
@@ -35,37 +35,37 @@
     this.version = 0;
   }
 
-  state(): Promise<EngineState> {
+  getState(): Promise<EngineState> {
     const { bornAt, version, orders } = this;
     const held = version > 0 ? { from: 0, to: testVersion.layers, version } : undefined;
     return Promise.resolve({
       bornAt,
       running: 0,
       waiting: 0,
-      pace: 1,
-      isBusy: false,
-      orders: orders.length,
+      slowdown: 1,
+      isExecutingOrder: false,
+      acceptedOrders: orders.length,
       layers: held,
     });
   }
 
-  stagedPieces(): Promise<readonly number[]> {
+  listStagedPieces(): Promise<readonly number[]> {
     return Promise.resolve([...this.staged.keys()]);
   }
 
-  stagedPiece(_model: string, piece: number): Promise<Uint8Array> {
+  getStagedPiece(_model: string, piece: number): Promise<Uint8Array> {
     const bytes = this.staged.get(piece);
     return bytes ? Promise.resolve(bytes) : Promise.reject(new NotFound('Not staged.'));
   }
 
-  stage(_model: string, piece: number, bytes: Uint8Array): Promise<void> {
+  stagePiece(_model: string, piece: number, bytes: Uint8Array): Promise<void> {
     this.puts += 1;
     const isSpoilt = this.puts % this.spoilsEach === 0;
     this.staged.set(piece, isSpoilt ? Buffer.from('spoilt') : bytes);
     return Promise.resolve();
   }
 
-  load(_model: string, version: number): Promise<void> {
+  orderLoad(_model: string, version: number): Promise<void> {
     const isRight = Array.from({ length: testVersion.pieces }, (_, piece) => piece).every(
       (piece) => {
         const bytes = this.staged.get(piece);
--- a/packages/sidecar/src/engineWatch.ts
+++ b/packages/sidecar/src/engineWatch.ts
@@ -2,61 +2,63 @@
 import type { Clock, Log, Metrics } from '@laburnumstream/common';
 import type { EngineState, LocalEngine } from './localEngine.js';
 
-/** Time between two questions, in milliseconds. */
-const pollMs = 150;
-/** Time after which an answer is not waited for any more, in milliseconds. */
-const answerTimeoutMs = 400;
-/** Questions without an answer after which the engine counts as not answering. */
-const mostMisses = 2;
+/** Time between two polls, in milliseconds. */
+const pollIntervalMs = 150;
+/** Timeout of one poll, in milliseconds. */
+const pollTimeoutMs = 400;
+/** Consecutive failed polls after which the engine counts as not answering. */
+const maxFailedPolls = 2;
 
-/** Asks the engine for its state again and again. */
-export class EngineWatch {
-  private last: EngineState | undefined;
+/** Polls the state of the local engine. */
+export class EngineMonitor {
+  private lastState: EngineState | undefined;
 
-  private misses = 0;
+  private failedPolls = 0;
 
   constructor(
     private readonly engine: LocalEngine,
     private readonly clock: Clock,
     private readonly metrics: Metrics,
     private readonly log: Log,
-    private readonly onState: () => void,
+    /** Called after each regular poll, whether it succeeded or not. */
+    private readonly onPolled: () => void,
   ) {}
 
-  /** The last state that it told; undefined before the first answer. */
+  /** State from the last successful poll; undefined before the first one. */
   get state(): EngineState | undefined {
-    return this.last;
+    return this.lastState;
   }
 
   get isAnswering(): boolean {
-    return this.last !== undefined && this.misses < mostMisses;
+    return this.lastState !== undefined && this.failedPolls < maxFailedPolls;
   }
 
+  /** Polls until the signal fires. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.ask(signal);
-      this.onState();
-      await this.clock.sleep(pollMs, signal).catch(() => undefined);
+      await this.poll(signal);
+      this.onPolled();
+      await this.clock.sleep(pollIntervalMs, signal).catch(() => undefined);
     }
   }
 
-  /** Asks once, outside the usual turn. */
-  async ask(signal: AbortSignal): Promise<void> {
+  /** Polls once, independently of the regular interval. */
+  async poll(signal: AbortSignal): Promise<void> {
     try {
-      const limit = timeLimit(answerTimeoutMs, signal);
-      const state = await this.engine.state(limit);
-      if (this.last && state.bornAt !== this.last.bornAt) {
+      const pollSignal = timeLimit(pollTimeoutMs, signal);
+      const state = await this.engine.getState(pollSignal);
+      if (this.lastState && state.bornAt !== this.lastState.bornAt) {
         this.log.info('The engine has restarted.', { bornAt: state.bornAt });
       }
-      if (this.misses >= mostMisses) this.log.info('The engine answers again.');
-      this.misses = 0;
-      this.last = state;
+      if (this.failedPolls >= maxFailedPolls) this.log.info('The engine responds again.');
+      this.failedPolls = 0;
+      this.lastState = state;
     } catch (error) {
-      this.misses += 1;
+      this.failedPolls += 1;
       this.metrics.count('engine_questions_failed');
-      if (this.misses === mostMisses) {
+      if (this.failedPolls === maxFailedPolls) {
         const { type, message } = toFailure(error);
-        this.log.warn('The engine does not answer.', { type, reason: message });
+        this.log.warn('The engine does not respond.', { type, reason: message });
       }
     }
   }
--- a/packages/sidecar/src/fleetView.ts
+++ b/packages/sidecar/src/fleetView.ts
@@ -5,18 +5,19 @@
 
 const bitsPerByte = 8;
 
-function membersOf({ members }: WeightNews): string {
+/** Formats the members and their versions, for comparison. */
+function formatMembers({ members }: WeightNews): string {
   return members.map(({ host, version }) => `${host} ${version}`).join();
 }
 
-/** What entries told this process of the fleet. */
+/** State of the fleet as last announced by entries. */
 export class FleetView {
-  private news: WeightNews | undefined;
+  private latest: WeightNews | undefined;
 
-  private readonly named = new NamedVersions();
+  private readonly namedVersions = new NamedVersions();
 
   constructor(
-    /** IP of this instance, which is the name of its member. */
+    /** IP of this instance, which is also its name as a member. */
     private readonly host: string,
     private readonly dataCentre: string,
     /** Region of each data centre. */
@@ -26,81 +27,90 @@
   ) {}
 
   get isKnown(): boolean {
-    return this.news !== undefined;
+    return this.latest !== undefined;
   }
 
   get model(): string {
-    return this.news?.model ?? '';
+    return this.latest?.model ?? '';
   }
 
-  /** Version that operators want; 0 while it is not known. */
+  /** Version that operators want to be served; 0 while unknown. */
   get version(): number {
-    return this.news?.version ?? 0;
+    return this.latest?.version ?? 0;
   }
 
   get layers(): number {
-    return this.news?.layers ?? 0;
+    return this.latest?.layers ?? 0;
   }
 
   get origin(): string {
-    return this.news?.origin ?? '';
+    return this.latest?.origin ?? '';
   }
 
   get loadMs(): number {
-    return this.news?.loadMs ?? 0;
+    return this.latest?.loadMs ?? 0;
   }
 
-  /** Time in which the origin's link passes one piece, in milliseconds. */
+  /** Transfer time of one piece over the origin's link, in milliseconds; 0 while unknown. */
   get originPieceMs(): number {
-    const { chunkBytes = 0, originKbitPerS = 0 } = this.news ?? {};
+    const { chunkBytes = 0, originKbitPerS = 0 } = this.latest ?? {};
     return originKbitPerS > 0 ? (chunkBytes * bitsPerByte) / originKbitPerS : 0;
   }
 
-  /** Time since a version was named, in milliseconds; infinite when that was never heard. */
+  /** Time since operators named a version, in milliseconds; infinite for an unknown version. */
   namedMsAgo(version: number): number {
-    return this.clock.now() - (this.named.namedAt(version) ?? -Infinity);
+    return this.clock.now() - (this.namedVersions.namedAt(version) ?? -Infinity);
   }
 
-  /** Time since the first version after one that is served was named, in milliseconds. */
+  /** Time since operators named the first version newer than `served`, in milliseconds. */
   outdatedMs(served: number): number {
-    return this.clock.now() - this.named.outdatedAt(served);
+    return this.clock.now() - this.namedVersions.outdatedAt(served);
   }
 
+  /** This instance as a member. */
   get self(): WeightMember {
-    return this.memberOf(this.host, this.dataCentre);
+    return this.toMember(this.host, this.dataCentre);
   }
 
-  /** All members, this one included. */
+  /** All members, including this one. */
   get members(): readonly WeightMember[] {
-    const others = (this.news?.members ?? []).filter(({ host }) => host !== this.host);
-    return [...others.map((member) => this.memberOf(member.host, member.dataCentre)), this.self];
+    const others = (this.latest?.members ?? []).filter(({ host }) => host !== this.host);
+    return [...others.map((member) => this.toMember(member.host, member.dataCentre)), this.self];
   }
 
-  /** Members that serve a version, this one not included. */
-  serving(version: number): readonly WeightMember[] {
-    return (this.news?.members ?? [])
+  /** Members that serve a version, excluding this one. */
+  membersServing(version: number): readonly WeightMember[] {
+    return (this.latest?.members ?? [])
       .filter((member) => member.version === version && member.host !== this.host)
-      .map((member) => this.memberOf(member.host, member.dataCentre));
+      .map((member) => this.toMember(member.host, member.dataCentre));
   }
 
   /**
-   * Takes what an entry told; returns whether that is news. An older version than one already heard
-   * of is not taken.
+   * Applies an announcement from an entry; returns whether the wanted version or the members changed.
+   * Ignores announcements of versions older than the known one.
    */
-  take(news: WeightNews): boolean {
-    if (news.version < this.version) return false;
-    const before = this.news;
-    const at = this.clock.now() - news.namedMsAgo;
-    if (this.named.namedAt(news.version) === undefined) {
-      this.log.info('Version wanted.', { version: news.version, namedMsAgo: news.namedMsAgo });
+  update(announcement: WeightNews): boolean {
+    if (announcement.version < this.version) return false;
+    const previous = this.latest;
+    const namedAt = this.clock.now() - announcement.namedMsAgo;
+    if (this.namedVersions.namedAt(announcement.version) === undefined) {
+      this.log.info('Version wanted.', {
+        version: announcement.version,
+        namedMsAgo: announcement.namedMsAgo,
+      });
     }
-    // The entry that learned of the version first knows best how old it is.
-    this.named.name(news.version, at);
-    this.news = news;
-    return !before || before.version !== news.version || membersOf(before) !== membersOf(news);
+    // Entries disagree on the age of a version: the earliest time counts, as the first entry to learn
+    // of the version knows its age best.
+    this.namedVersions.name(announcement.version, namedAt);
+    this.latest = announcement;
+    return (
+      !previous ||
+      previous.version !== announcement.version ||
+      formatMembers(previous) !== formatMembers(announcement)
+    );
   }
 
-  private memberOf(host: string, dataCentre: string): WeightMember {
+  private toMember(host: string, dataCentre: string): WeightMember {
     return { name: host, dataCentre, region: this.regions.get(dataCentre) ?? '' };
   }
 }
--- a/packages/sidecar/src/heldVersion.ts
+++ b/packages/sidecar/src/heldVersion.ts
@@ -2,11 +2,12 @@
 
 const bitsPerByte = 8;
 
-/** The verified pieces of one version that are held in memory. */
+/** Verified pieces of one version, held in memory. */
 export class HeldVersion {
+  /** Content by piece number; undefined for missing pieces. */
   readonly pieces: (Uint8Array | undefined)[];
 
-  private count = 0;
+  private heldCount = 0;
 
   constructor(readonly manifest: PieceManifest) {
     this.pieces = new Array<Uint8Array | undefined>(manifest.digests.length).fill(undefined);
@@ -17,15 +18,15 @@
   }
 
   get isComplete(): boolean {
-    return this.count === this.pieces.length;
+    return this.heldCount === this.pieces.length;
   }
 
-  put(piece: number, bytes: Uint8Array): void {
-    if (!this.pieces[piece]) this.count += 1;
+  add(piece: number, bytes: Uint8Array): void {
+    if (!this.pieces[piece]) this.heldCount += 1;
     this.pieces[piece] = bytes;
   }
 
-  /** One bit for each piece, the lowest bit of the first byte first. */
+  /** Bitmap of the held pieces, starting with the least significant bit of the first byte. */
   bitmap(): Uint8Array {
     const bits = new Uint8Array(Math.ceil(this.pieces.length / bitsPerByte));
     this.pieces.forEach((bytes, piece) => {
@@ -35,8 +36,8 @@
   }
 }
 
-/** One byte for each piece, 1 for those that a bitmap marks. */
-export function flagsOf(bitmap: Uint8Array, pieces: number): Uint8Array {
+/** Expands a bitmap of pieces to one byte for each piece, 0 or 1. */
+export function bitmapToFlags(bitmap: Uint8Array, pieces: number): Uint8Array {
   return Uint8Array.from({ length: pieces }, (_, piece) => {
     const byte = bitmap[Math.floor(piece / bitsPerByte)] ?? 0;
     return Math.floor(byte / 2 ** (piece % bitsPerByte)) % 2;
--- a/packages/sidecar/src/index.ts
+++ b/packages/sidecar/src/index.ts
@@ -1,4 +1,4 @@
-/** The agent beside an engine, on a platform with a store: load reports and weights. */
+/** Agent beside an engine on a platform with a store: reports load and transfers weights. */
 export * from './engineWatch.js';
 export * from './localEngine.js';
 export * from './peerClient.js';
--- a/packages/sidecar/src/localEngine.ts
+++ b/packages/sidecar/src/localEngine.ts
@@ -1,53 +1,61 @@
-/** State of the engine beside this process. */
+/** State of the local engine. */
 export interface EngineState {
   /** Wall-clock time of its start, in milliseconds. */
   readonly bornAt: number;
+  /** Requests in execution. */
   readonly running: number;
+  /** Requests queued at the engine. */
   readonly waiting: number;
-  /** Factor by which it is slower than its profile. */
-  readonly pace: number;
-  /** Whether it is carrying out an order. */
-  readonly isBusy: boolean;
-  /** Orders that it has accepted since its start. */
-  readonly orders: number;
-  /** Layers that it holds, `to` exclusive; undefined when it has none. */
+  /** Factor by which the engine is slower than its profile. */
+  readonly slowdown: number;
+  /** Whether the engine is executing an order. */
+  readonly isExecutingOrder: boolean;
+  /** Number of orders accepted since its start. */
+  readonly acceptedOrders: number;
+  /** Layers that the engine holds, `to` exclusive; undefined when it holds none. */
   readonly layers:
     { readonly from: number; readonly to: number; readonly version: number } | undefined;
 }
 
-/** The engine beside this process. Calls fail with `Unavailable` when it does not answer. */
+/** The engine on the same instance. Calls fail with `Unavailable` when it does not respond. */
 export interface LocalEngine {
-  state(signal?: AbortSignal): Promise<EngineState>;
-  /** Numbers of the pieces that lie ready to be loaded. */
-  stagedPieces(model: string, signal?: AbortSignal): Promise<readonly number[]>;
-  /** A piece that lies ready, as it is now; throws `NotFound`. */
-  stagedPiece(model: string, piece: number, signal?: AbortSignal): Promise<Uint8Array>;
-  stage(model: string, piece: number, bytes: Uint8Array, signal?: AbortSignal): Promise<void>;
+  getState(signal?: AbortSignal): Promise<EngineState>;
+  /** Lists the numbers of the staged pieces, which are ready to be loaded. */
+  listStagedPieces(model: string, signal?: AbortSignal): Promise<readonly number[]>;
+  /** Reads back a staged piece, which may be corrupted; throws `NotFound` for a missing piece. */
+  getStagedPiece(model: string, piece: number, signal?: AbortSignal): Promise<Uint8Array>;
+  stagePiece(model: string, piece: number, bytes: Uint8Array, signal?: AbortSignal): Promise<void>;
   /**
-   * Orders it to load what lies ready, after the requests that run. `orders` is the number of orders
-   * that it has accepted before. Throws `OrderRefused` when that does not fit its state.
+   * Orders the engine to load the staged pieces once its running requests have ended. Throws
+   * `OrderRefused` when the engine refuses the order, for instance because `acceptedOrders` is not the
+   * number of orders that it has accepted so far.
    */
-  load(model: string, version: number, orders: number, signal?: AbortSignal): Promise<void>;
+  orderLoad(
+    model: string,
+    version: number,
+    acceptedOrders: number,
+    signal?: AbortSignal,
+  ): Promise<void>;
 }
 
-/** Digests of the pieces of one version. */
+/** Manifest of one version: the digests of its pieces. */
 export interface PieceManifest {
   readonly model: string;
   readonly version: number;
-  /** SHA-256 in hex, by piece. */
+  /** SHA-256 of each piece, in hex. */
   readonly digests: readonly string[];
 }
 
-/** The origin of weights. Calls fail with `Unavailable` when it does not answer. */
+/** The origin of weights. Calls fail with `Unavailable` when it does not respond. */
 export interface PieceOrigin {
-  /** Throws `InvalidInput` for what cannot be read, and `NotFound` for a version that is too old. */
-  manifest(
+  /** Throws `InvalidInput` for an invalid manifest and `NotFound` for a version that is too old. */
+  getManifest(
     address: string,
     model: string,
     version: number,
     signal?: AbortSignal,
   ): Promise<PieceManifest>;
-  piece(
+  getPiece(
     address: string,
     model: string,
     version: number,
--- a/packages/sidecar/src/peerClient.ts
+++ b/packages/sidecar/src/peerClient.ts
@@ -4,40 +4,41 @@
 import type { PieceManifest } from './localEngine.js';
 import { PieceStatus } from './pieceServer.js';
 
-/** Connections to one other agent. */
-const connections = 2;
+/** Maximum number of connections to one agent. */
+const maxConnections = 2;
 const connectTimeoutMs = 700;
-const busyMs = 30;
+/** Delay before a busy agent is asked again, in milliseconds. */
+const busyRetryMs = 30;
 
 function isManifest(value: unknown): value is PieceManifest {
   const { model, version, digests } = value as Partial<PieceManifest>;
   return typeof model === 'string' && typeof version === 'number' && Array.isArray(digests);
 }
 
-/** Takes pieces and manifests from other agents. */
+/** HTTP client for the pieces and manifests of other agents. */
 export class PeerClient {
   private readonly pools = new Map<string, Pool>();
 
   constructor(
-    /** Port at which all agents give pieces. */
+    /** Port of the piece server, the same on all agents. */
     private readonly port: number,
   ) {}
 
-  /** Throws `NotFound` when the agent does not have it. */
-  async manifest(host: string, version: number, signal: AbortSignal): Promise<PieceManifest> {
+  /** Throws `NotFound` when the agent does not hold the version. */
+  async getManifest(host: string, version: number, signal: AbortSignal): Promise<PieceManifest> {
     const body = await this.read(host, `/weights/${version}/manifest`, signal);
     const value: unknown = JSON.parse(Buffer.from(body).toString('utf8'));
     if (isManifest(value)) return value;
-    throw new InvalidInput(`${host} sent no manifest.`);
+    throw new InvalidInput(`${host} sent an invalid manifest.`);
   }
 
-  /** Throws `NotFound` when the agent does not have it, `Unavailable` when it is busy. */
-  piece(host: string, version: number, piece: number, signal: AbortSignal): Promise<Uint8Array> {
+  /** Throws `NotFound` when the agent does not hold the piece and `Unavailable` when it is busy. */
+  getPiece(host: string, version: number, piece: number, signal: AbortSignal): Promise<Uint8Array> {
     return this.read(host, `/weights/${version}/${piece}`, signal);
   }
 
-  /** Forgets agents that are gone. */
-  keepOnly(hosts: ReadonlySet<string>): void {
+  /** Closes the connections to all other hosts. */
+  retainHosts(hosts: ReadonlySet<string>): void {
     this.pools.forEach((pool, host) => {
       if (hosts.has(host)) return;
       this.pools.delete(host);
@@ -46,17 +47,17 @@
   }
 
   private async read(host: string, path: string, signal: AbortSignal): Promise<Uint8Array> {
-    const { statusCode, body } = await this.poolOf(host).request({ method: 'GET', path, signal });
+    const { statusCode, body } = await this.getPool(host).request({ method: 'GET', path, signal });
     const bytes = new Uint8Array(await body.arrayBuffer());
     if (statusCode === PieceStatus.ok) return bytes;
     if (statusCode === PieceStatus.notHeld) throw new NotFound(`${host} does not hold ${path}.`);
-    throw new Unavailable(`${host} answered ${statusCode}.`, busyMs);
+    throw new Unavailable(`${host} responded with status ${statusCode}.`, busyRetryMs);
   }
 
-  private poolOf(host: string): Pool {
+  private getPool(host: string): Pool {
     let pool = this.pools.get(host);
     if (!pool) {
-      const options = { connections, connect: connectorWith(connectTimeoutMs) };
+      const options = { connections: maxConnections, connect: connectorWith(connectTimeoutMs) };
       pool = new Pool(`http://${host}:${this.port}`, options);
       this.pools.set(host, pool);
     }
--- a/packages/sidecar/src/pieceGossip.ts
+++ b/packages/sidecar/src/pieceGossip.ts
@@ -4,72 +4,77 @@
 import type { FleetView } from './fleetView.js';
 import type { Uplink } from './uplink.js';
 import type { VersionFetch } from './versionFetch.js';
-import type { VersionShelf } from './versionShelf.js';
+import type { VersionCache } from './versionShelf.js';
 
-/** Time between two messages while a transfer runs, in milliseconds. */
-const tellMs = 100;
-/** Members of the own region that are told; a hash of the pair chooses them in large regions. */
-const mostNear = 24;
+/** Time between two rounds of messages during a transfer, in milliseconds. */
+const gossipIntervalMs = 100;
+/** Maximum number of members of the own region that receive messages: the first ones in the list. */
+const maxRegionalPeers = 24;
 
-/** Tells other agents which pieces are held here, and learns what they hold. */
+/** Exchanges with other agents which pieces each of them holds. */
 export class PieceGossip {
   private fetch: VersionFetch | undefined;
 
   constructor(
     private readonly view: FleetView,
-    private readonly shelf: VersionShelf,
+    private readonly versions: VersionCache,
     private readonly uplink: Uplink,
     private readonly datagrams: FleetDatagrams,
     private readonly clock: Clock,
   ) {}
 
-  /** Tells and asks again and again while a transfer runs, until the signal fires. */
+  /** Exchanges messages during a transfer, until the signal fires. */
   async run(fetch: VersionFetch, signal: AbortSignal): Promise<void> {
     this.fetch = fetch;
     while (!signal.aborted) {
-      this.tellNear();
-      await this.clock.sleep(tellMs, signal).catch(() => undefined);
+      this.sendToPeers();
+      await this.clock.sleep(gossipIntervalMs, signal).catch(() => undefined);
     }
-    // The others learn that all is here now.
-    this.tellNear();
+    // Announces the final state, usually a complete version.
+    this.sendToPeers();
     this.fetch = undefined;
   }
 
-  /** A piece has come in: members of other regions may wait for it. */
-  pieceCame(piece: number): void {
+  /** Announces a received piece to the members of other regions that wait for it. */
+  announcePiece(piece: number): void {
     const { fetch } = this;
     if (!fetch) return;
-    fetch.waitingElsewhere(piece).forEach(({ name }) => this.tell(name, fetch.held.version, false));
+    fetch.remoteReceivers(piece).forEach(({ name }) => this.send(name, fetch.held.version, false));
   }
 
-  /** Another agent told what it holds. */
-  heard(news: PieceNews, host: string): void {
+  /** Handles a message in which another agent lists its pieces. */
+  receive(message: PieceNews, host: string): void {
     const { fetch } = this;
-    if (fetch && news.version === fetch.held.version && news.model === fetch.held.manifest.model) {
-      fetch.learn(host, news.held, news.giving);
+    if (
+      fetch &&
+      message.version === fetch.held.version &&
+      message.model === fetch.held.manifest.model
+    ) {
+      fetch.updateHeldPieces(host, message.held, message.giving);
     }
-    if (news.wantsAnswer && this.shelf.get(news.version)) this.tell(host, news.version, false);
+    if (message.wantsAnswer && this.versions.get(message.version))
+      this.send(host, message.version, false);
   }
 
-  private tellNear(): void {
+  private sendToPeers(): void {
     const { fetch, view } = this;
     if (!fetch) return;
     const { version } = fetch.held;
-    const near = view.members.filter(
+    const regional = view.members.filter(
       ({ name, region }) => region === view.self.region && name !== view.self.name,
     );
-    near.slice(0, mostNear).forEach(({ name }) => this.tell(name, version, true));
-    fetch.askedElsewhere().forEach(({ name }) => this.tell(name, version, true));
+    regional.slice(0, maxRegionalPeers).forEach(({ name }) => this.send(name, version, true));
+    fetch.remoteSources().forEach(({ name }) => this.send(name, version, true));
   }
 
-  private tell(host: string, version: number, wantsAnswer: boolean): void {
-    const held = this.shelf.get(version);
+  private send(host: string, version: number, wantsAnswer: boolean): void {
+    const held = this.versions.get(version);
     const value = {
       model: this.view.model,
       version,
       held: held?.bitmap() ?? new Uint8Array(),
       wantsAnswer,
-      giving: this.uplink.running,
+      giving: this.uplink.activeTransfers,
     };
     this.datagrams.send({ case: 'pieces', value }, host);
   }
--- a/packages/sidecar/src/pieceServer.ts
+++ b/packages/sidecar/src/pieceServer.ts
@@ -3,19 +3,22 @@
 import { once } from 'node:events';
 import type { Log, Metrics } from '@laburnumstream/common';
 import type { Uplink } from './uplink.js';
-import type { VersionShelf } from './versionShelf.js';
+import type { VersionCache } from './versionShelf.js';
 
-/** Statuses of the answers between the system's own processes. */
+/** HTTP statuses with which agents respond to each other. */
 export const PieceStatus = { ok: 200, notHeld: 404, busy: 503 } as const;
 
-const path = /^\/weights\/(\d+)\/(manifest|\d+)$/;
+const pathPattern = /^\/weights\/(\d+)\/(manifest|\d+)$/;
 
 function sendEmpty(response: ServerResponse, status: number): void {
   response.writeHead(status, { 'content-length': '0' });
   response.end();
 }
 
-/** Gives held pieces and manifests to other agents: `/weights/VERSION/PIECE` and `.../manifest`. */
+/**
+ * Serves held pieces and manifests to other agents, as `/weights/VERSION/PIECE` and
+ * `/weights/VERSION/manifest`.
+ */
 export class PieceServer {
   private readonly server = createServer((request, response) => {
     this.handle(request, response).catch((error: unknown) => {
@@ -25,12 +28,13 @@
   });
 
   constructor(
-    private readonly shelf: VersionShelf,
+    private readonly versions: VersionCache,
     private readonly uplink: Uplink,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {}
 
+  /** Listens until the signal fires; resolves when the socket is bound. */
   listen(host: string, port: number, signal: AbortSignal): Promise<void> {
     signal.addEventListener('abort', () => {
       this.server.close();
@@ -43,8 +47,8 @@
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const [, version = '', part = ''] = path.exec(request.url ?? '') ?? [];
-    const held = this.shelf.get(Number(version));
+    const [, version = '', part = ''] = pathPattern.exec(request.url ?? '') ?? [];
+    const held = this.versions.get(Number(version));
     if (!held) {
       sendEmpty(response, PieceStatus.notHeld);
       return;
@@ -66,9 +70,9 @@
     response.once('close', () => closed.abort());
     try {
       response.writeHead(PieceStatus.ok, { 'content-length': bytes.length });
-      await this.uplink.send(bytes, async (grain) => {
+      await this.uplink.send(bytes, async (slice) => {
         closed.signal.throwIfAborted();
-        if (!response.write(grain)) await once(response, 'drain', { signal: closed.signal });
+        if (!response.write(slice)) await once(response, 'drain', { signal: closed.signal });
       });
       response.end();
       this.metrics.count('pieces_sent');
--- a/packages/sidecar/src/reporter.ts
+++ b/packages/sidecar/src/reporter.ts
@@ -1,70 +1,72 @@
 import type { Clock } from '@laburnumstream/common';
 import type { FleetDatagrams } from '@laburnumstream/links';
-import type { EngineWatch } from './engineWatch.js';
+import type { EngineMonitor } from './engineWatch.js';
 
-/** An entry that wants reports. */
+/** An entry that receives reports. */
 interface Subscriber {
   readonly host: string;
-  everyMs: number;
-  /** Monotonic time of its last datagram, in milliseconds. */
-  heardAt: number;
-  sentAt: number;
+  /** Time between two of its reports, in milliseconds. */
+  intervalMs: number;
+  /** Monotonic time of the last datagram from the entry, in milliseconds. */
+  lastHeardAt: number;
+  /** Monotonic time of the last report to the entry, in milliseconds. */
+  lastSentAt: number;
 }
 
-/** What entries are told of the engine's weights. */
+/** State of the engine's weights, as reported to entries. */
 export interface WeightState {
-  /** Version whose every layer it holds; 0 for none. */
+  /** Version of which the engine holds all layers; 0 for none. */
   readonly version: number;
-  /** Whether it is about to leave its weights, or loads others. */
+  /** Whether the engine is about to unload its weights or is loading others. */
   readonly isSwitching: boolean;
-  /** Time until it leaves its weights, in milliseconds; undefined while it need not. */
+  /** Time until the engine unloads its weights, in milliseconds; undefined while no switch is due. */
   readonly switchInMs: number | undefined;
 }
 
-/** Silence after which an entry gets no more reports, in milliseconds. */
-const subscriptionMs = 4_000;
+/** Time without a datagram after which an entry receives no more reports, in milliseconds. */
+const subscriptionTimeoutMs = 4_000;
 const permille = 1_000;
 
-/** Reports the state of the engine to the entries that asked for it. */
-export class Reporter {
+/** Reports the state of the local engine to subscribed entries. */
+export class EngineReporter {
   private readonly subscribers = new Map<string, Subscriber>();
 
-  /** What entries must know at once when it changes. */
-  private lastUrgent = '';
+  /** The part of the last state whose changes are reported immediately. */
+  private lastUrgentState = '';
 
   constructor(
     /** IP:PORT of the endpoint. */
     private readonly address: string,
-    private readonly watch: EngineWatch,
-    private readonly weights: () => WeightState,
+    private readonly monitor: EngineMonitor,
+    private readonly getWeightState: () => WeightState,
     private readonly datagrams: FleetDatagrams,
     private readonly clock: Clock,
   ) {}
 
-  /** An entry asked for reports. */
-  subscribe(name: string, host: string, everyMs: number): void {
+  /** Adds an entry as a subscriber, or renews its subscription. */
+  subscribe(name: string, host: string, intervalMs: number): void {
     const known = this.subscribers.get(name);
-    const heardAt = this.clock.now();
-    if (known?.host === host) Object.assign(known, { everyMs, heardAt });
-    else this.subscribers.set(name, { host, everyMs, heardAt, sentAt: -Infinity });
+    const lastHeardAt = this.clock.now();
+    if (known?.host === host) Object.assign(known, { intervalMs, lastHeardAt });
+    else this.subscribers.set(name, { host, intervalMs, lastHeardAt, lastSentAt: -Infinity });
   }
 
-  /** Sends the reports that are due, and all when something changed that can't wait. */
+  /** Sends the reports that are due, or all of them after an urgent change. */
   report(): void {
-    const { state } = this.watch;
+    const { state } = this.monitor;
     if (!state) return;
     const now = this.clock.now();
-    const { isAnswering } = this.watch;
-    const { version, isSwitching, switchInMs } = this.weights();
-    const urgent = `${isAnswering} ${isSwitching} ${version} ${state.bornAt}`;
-    const isUrgent = urgent !== this.lastUrgent;
-    this.lastUrgent = urgent;
+    const { isAnswering } = this.monitor;
+    const { version, isSwitching, switchInMs } = this.getWeightState();
+    const urgentState = `${isAnswering} ${isSwitching} ${version} ${state.bornAt}`;
+    const isUrgent = urgentState !== this.lastUrgentState;
+    this.lastUrgentState = urgentState;
     const value = {
       address: this.address,
       bornAt: BigInt(state.bornAt),
       running: state.running,
       waiting: state.waiting,
-      pacePermille: Math.round(state.pace * permille),
+      pacePermille: Math.round(state.slowdown * permille),
       version,
       isSwitching,
       isAnswering,
@@ -72,9 +74,9 @@
     };
     const hosts: string[] = [];
     this.subscribers.forEach((subscriber, name) => {
-      if (now - subscriber.heardAt > subscriptionMs) this.subscribers.delete(name);
-      else if (isUrgent || now - subscriber.sentAt >= subscriber.everyMs) {
-        Object.assign(subscriber, { sentAt: now });
+      if (now - subscriber.lastHeardAt > subscriptionTimeoutMs) this.subscribers.delete(name);
+      else if (isUrgent || now - subscriber.lastSentAt >= subscriber.intervalMs) {
+        Object.assign(subscriber, { lastSentAt: now });
         hosts.push(subscriber.host);
       }
     });
--- a/packages/sidecar/src/sidecar.ts
+++ b/packages/sidecar/src/sidecar.ts
@@ -1,115 +1,117 @@
 import type { Chart, Clock, Log, Metrics, Random, SidecarSettings } from '@laburnumstream/common';
 import { FleetDatagrams } from '@laburnumstream/links';
 import { Notifier } from '@laburnumstream/runtime';
-import { EngineWatch } from './engineWatch.js';
+import { EngineMonitor } from './engineWatch.js';
 import { FleetView } from './fleetView.js';
 import type { LocalEngine, PieceOrigin } from './localEngine.js';
 import { PeerClient } from './peerClient.js';
 import { PieceGossip } from './pieceGossip.js';
 import { PieceServer } from './pieceServer.js';
-import { Reporter } from './reporter.js';
+import { EngineReporter } from './reporter.js';
 import { sidecarGauges } from './sidecarGauges.js';
 import { Uplink } from './uplink.js';
-import { VersionShelf } from './versionShelf.js';
-import { WeightKeeper } from './weightKeeper.js';
+import { VersionCache } from './versionShelf.js';
+import { WeightUpdater } from './weightKeeper.js';
 
-/** What a sidecar needs from outside. */
-export interface SidecarPorts {
+/** Dependencies of a sidecar. */
+export interface SidecarDependencies {
   readonly settings: SidecarSettings;
   readonly engine: LocalEngine;
   readonly origin: PieceOrigin;
-  /** The chart `switch`. */
+  /** The state chart `switch`. */
   readonly chart: Chart;
   readonly clock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
-  /** A log for a part of the process. */
+  /** Creates the log of a part of the process. */
   readonly log: (part: string) => Log;
 }
 
-/** The agent on a platform with a store: reports its engine's load and keeps its weights. */
+/** The agent on a platform with a store: reports the load of its engine and updates its weights. */
 export class Sidecar {
   private readonly view: FleetView;
 
   private readonly datagrams: FleetDatagrams;
 
-  private readonly watch: EngineWatch;
+  private readonly monitor: EngineMonitor;
 
-  private readonly reporter: Reporter;
+  private readonly reporter: EngineReporter;
 
-  private readonly pieces: PieceServer;
+  private readonly pieceServer: PieceServer;
 
   private readonly gossip: PieceGossip;
 
-  private readonly keeper: WeightKeeper;
+  private readonly updater: WeightUpdater;
 
   private readonly changes = new Notifier();
 
-  /** What the keeper acts on, as it last was. */
-  private lastState = '';
+  /** The engine's state at the last poll, as far as the updater acts on it. */
+  private lastEngineState = '';
 
-  constructor(private readonly ports: SidecarPorts) {
-    const { settings, engine, origin, clock, random, metrics, log } = ports;
+  constructor(private readonly dependencies: SidecarDependencies) {
+    const { settings, engine, origin, clock, random, metrics, log } = dependencies;
     const { instance, host, dataCentre, regions, firstPort, bounds } = settings;
     this.view = new FleetView(host, dataCentre, regions, clock, log('fleet'));
     this.datagrams = new FleetDatagrams(
       instance,
       {
-        fleet: (news, from) => {
-          this.reporter.subscribe(from.sender, from.host, news.reportEveryMs);
-          if (news.weights && this.view.take(news.weights)) this.changes.notify();
+        fleet: (announcement, from) => {
+          this.reporter.subscribe(from.sender, from.host, announcement.reportEveryMs);
+          if (announcement.weights && this.view.update(announcement.weights)) this.changes.notify();
         },
-        pieces: (news, from) => this.gossip.heard(news, from.host),
+        pieces: (message, from) => this.gossip.receive(message, from.host),
       },
       clock,
       metrics,
       log('datagrams'),
     );
-    this.watch = new EngineWatch(engine, clock, metrics, log('engine'), () => this.engineAsked());
-    const shelf = new VersionShelf();
-    const uplink = new Uplink(settings.linkBitsPerSecond, () => this.keeper.isServing, clock);
-    this.pieces = new PieceServer(shelf, uplink, metrics, log('pieces'));
-    this.gossip = new PieceGossip(this.view, shelf, uplink, this.datagrams, clock);
+    this.monitor = new EngineMonitor(engine, clock, metrics, log('engine'), () =>
+      this.onEnginePolled(),
+    );
+    const versions = new VersionCache();
+    const uplink = new Uplink(settings.linkBitsPerSecond, () => this.updater.isServing, clock);
+    this.pieceServer = new PieceServer(versions, uplink, metrics, log('pieces'));
+    this.gossip = new PieceGossip(this.view, versions, uplink, this.datagrams, clock);
     const peers = new PeerClient(firstPort + 1);
-    const services = { peers, origin, clock, random, metrics, log: log('weights') };
-    this.keeper = new WeightKeeper(
+    const fetchDependencies = { peers, origin, clock, random, metrics, log: log('weights') };
+    this.updater = new WeightUpdater(
       this.view,
-      this.watch,
+      this.monitor,
       engine,
-      shelf,
+      versions,
       this.gossip,
-      services,
+      fetchDependencies,
       this.changes,
       bounds.versionMs,
       () => this.reporter.report(),
     );
-    this.reporter = new Reporter(
+    this.reporter = new EngineReporter(
       settings.endpoint,
-      this.watch,
-      () => this.keeper.weightState,
+      this.monitor,
+      () => this.updater.weightState,
       this.datagrams,
       clock,
     );
-    const { view, watch, keeper } = this;
-    metrics.sample(() => sidecarGauges(view, watch, keeper, shelf));
+    const { view, monitor, updater } = this;
+    metrics.sample(() => sidecarGauges(view, monitor, updater, versions));
   }
 
-  /** Starts working; resolves when all sockets are bound. */
+  /** Starts the agent; resolves when all sockets are bound. */
   async start(signal: AbortSignal): Promise<void> {
-    const { settings, chart } = this.ports;
+    const { settings, chart } = this.dependencies;
     const { host, firstPort } = settings;
     await this.datagrams.bind(host, firstPort, signal);
-    await this.pieces.listen(host, firstPort + 1, signal);
-    void this.watch.run(signal);
-    this.keeper.run(chart, signal);
+    await this.pieceServer.listen(host, firstPort + 1, signal);
+    void this.monitor.run(signal);
+    this.updater.run(chart, signal);
   }
 
-  /** Wakes the keeper when the engine has changed, and tells entries of its load. */
-  private engineAsked(): void {
-    const { state, isAnswering } = this.watch;
-    const now = `${state?.bornAt} ${this.keeper.servedVersion} ${isAnswering}`;
-    if (now !== this.lastState) this.changes.notify();
-    this.lastState = now;
+  /** Wakes the updater when the engine has changed, and sends reports to entries. */
+  private onEnginePolled(): void {
+    const { state, isAnswering } = this.monitor;
+    const engineState = `${state?.bornAt} ${this.updater.servedVersion} ${isAnswering}`;
+    if (engineState !== this.lastEngineState) this.changes.notify();
+    this.lastEngineState = engineState;
     this.reporter.report();
   }
 }
--- a/packages/sidecar/src/sidecarGauges.ts
+++ b/packages/sidecar/src/sidecarGauges.ts
@@ -1,18 +1,18 @@
 import type { Gauge } from '@laburnumstream/common';
-import type { EngineWatch } from './engineWatch.js';
+import type { EngineMonitor } from './engineWatch.js';
 import type { FleetView } from './fleetView.js';
-import type { VersionShelf } from './versionShelf.js';
-import type { WeightKeeper } from './weightKeeper.js';
+import type { VersionCache } from './versionShelf.js';
+import type { WeightUpdater } from './weightKeeper.js';
 
-/** The engine and its weights as this process knows them, as gauges. */
+/** Gauges of the local engine and its weights. */
 export function sidecarGauges(
   view: FleetView,
-  watch: EngineWatch,
-  keeper: WeightKeeper,
-  shelf: VersionShelf,
+  monitor: EngineMonitor,
+  updater: WeightUpdater,
+  versions: VersionCache,
 ): Gauge[] {
-  const { state, isAnswering } = watch;
-  const { version, isSwitching } = keeper.weightState;
+  const { state, isAnswering } = monitor;
+  const { version, isSwitching } = updater.weightState;
   return [
     { name: 'engine_answering', value: isAnswering ? 1 : 0 },
     { name: 'engine_requests', value: state?.running ?? 0, labels: { state: 'running' } },
@@ -20,6 +20,10 @@
     { name: 'weights_switching', value: isSwitching ? 1 : 0 },
     { name: 'weights_version', value: version, labels: { state: 'served' } },
     { name: 'weights_version', value: view.version, labels: { state: 'named' } },
-    { name: 'weights_version', value: shelf.newest()?.version ?? 0, labels: { state: 'complete' } },
+    {
+      name: 'weights_version',
+      value: versions.newestComplete()?.version ?? 0,
+      labels: { state: 'complete' },
+    },
   ];
 }
--- a/packages/sidecar/src/uplink.ts
+++ b/packages/sidecar/src/uplink.ts
@@ -1,20 +1,21 @@
 import type { Clock } from '@laburnumstream/common';
 
-/** Bytes that are sent at once: short enough that a stream's event does not wait behind them. */
-const grainBytes = 12_288;
+/** Bytes written at once; small, so that an event of a stream does not wait long behind them. */
+const sliceBytes = 12_288;
 const bitsPerByte = 8;
-const secondMs = 1_000;
-/** Transfers at once while the engine serves requests, and while it does not. */
-const mostTransfers = { serving: 3, idle: 6 } as const;
-/** Part of the link that transfers fill while the engine serves requests. */
-const servingShare = 0.85;
-/** Time for which an idle link saves up its rate, so that late timers cost no bytes. */
+const msPerSecond = 1_000;
+/** Maximum number of concurrent transfers while the engine serves requests and while it does not. */
+const maxTransfers = { serving: 3, idle: 6 } as const;
+/** Share of the link's rate that transfers may use while the engine serves requests. */
+const servingLinkShare = 0.85;
+/** Unused sending time that is carried over, in milliseconds, so that late timers do not lower the rate. */
 const burstMs = 25;
 
-/** Shares the instance's link between weights and the engine's streams. */
+/** Limits weight transfers so that the instance's link has room for the engine's streams. */
 export class Uplink {
-  private transfers = 0;
+  private activeCount = 0;
 
+  /** Monotonic time at which the bytes accepted so far have been sent, in milliseconds. */
   private freeAt = 0;
 
   constructor(
@@ -23,37 +24,39 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Transfers that run. */
-  get running(): number {
-    return this.transfers;
+  /** Number of running transfers. */
+  get activeTransfers(): number {
+    return this.activeCount;
   }
 
-  /** Takes a place for a transfer; returns whether one was free. */
+  /** Starts a transfer unless the limit is reached; returns whether it was started. */
   tryStart(): boolean {
-    const most = this.isServing() ? mostTransfers.serving : mostTransfers.idle;
-    if (this.transfers >= most) return false;
-    this.transfers += 1;
+    const limit = this.isServing() ? maxTransfers.serving : maxTransfers.idle;
+    if (this.activeCount >= limit) return false;
+    this.activeCount += 1;
     return true;
   }
 
   end(): void {
-    this.transfers -= 1;
+    this.activeCount -= 1;
   }
 
-  /** Cuts bytes into grains and passes each on when the link has room for it. */
-  async send(bytes: Uint8Array, write: (grain: Uint8Array) => Promise<void>): Promise<void> {
-    for (let start = 0; start < bytes.length; start += grainBytes) {
-      const grain = bytes.subarray(start, start + grainBytes);
-      await this.pace(grain.length);
-      await write(grain);
+  /** Writes the bytes in slices, each when the link has room for it. */
+  async send(bytes: Uint8Array, write: (slice: Uint8Array) => Promise<void>): Promise<void> {
+    for (let start = 0; start < bytes.length; start += sliceBytes) {
+      const slice = bytes.subarray(start, start + sliceBytes);
+      await this.throttle(slice.length);
+      await write(slice);
     }
   }
 
-  private async pace(bytes: number): Promise<void> {
+  /** Waits until the link has room for the next bytes; only while the engine serves requests. */
+  private async throttle(bytes: number): Promise<void> {
     if (!this.isServing()) return;
     const now = this.clock.now();
-    const rate = this.bitsPerSecond * servingShare;
-    this.freeAt = Math.max(this.freeAt, now - burstMs) + ((bytes * bitsPerByte) / rate) * secondMs;
+    const rate = this.bitsPerSecond * servingLinkShare;
+    this.freeAt =
+      Math.max(this.freeAt, now - burstMs) + ((bytes * bitsPerByte) / rate) * msPerSecond;
     const waitMs = this.freeAt - now;
     if (waitMs > 1) await this.clock.sleep(waitMs);
   }
--- a/packages/sidecar/src/versionFetch.ts
+++ b/packages/sidecar/src/versionFetch.ts
@@ -9,12 +9,12 @@
   sourceName,
 } from '@laburnumstream/decisions';
 import type { ChunkFetch, WeightMember } from '@laburnumstream/decisions';
-import { HeldVersion, flagsOf } from './heldVersion.js';
+import { HeldVersion, bitmapToFlags } from './heldVersion.js';
 import type { PieceManifest, PieceOrigin } from './localEngine.js';
 import type { PeerClient } from './peerClient.js';
 
-/** What a fetch needs besides the version. */
-export interface FetchServices {
+/** Dependencies of a fetch. */
+export interface FetchDependencies {
   readonly peers: PeerClient;
   readonly origin: PieceOrigin;
   readonly clock: Clock;
@@ -23,27 +23,32 @@
   readonly log: Log;
 }
 
-/** The members that take part in a transfer, and the origin's address; empty when there is none. */
-export interface FetchGroup {
+/** Where the pieces of a version can be fetched from. */
+export interface FetchSources {
+  /** Members that take part in the transfer. */
   readonly members: readonly WeightMember[];
+  /** Address of the origin; empty when there is none. */
   readonly origin: string;
 }
 
-/** Time between looks at fetches that take too long, in milliseconds. */
-const lookMs = 40;
+/** Time between two checks for overdue fetches, in milliseconds. */
+const checkIntervalMs = 40;
 
-const faultOf: Readonly<Record<string, FetchFault>> = {
+const faultByFailureType: Readonly<Record<string, FetchFault>> = {
   not_found: FetchFault.notYet,
   unavailable: FetchFault.notYet,
   corrupted: FetchFault.corrupt,
 };
 
-/** SHA-256 of bytes, in hex. */
-export function digestOf(bytes: Uint8Array): string {
+/** Computes the SHA-256 of bytes, in hex. */
+export function sha256Hex(bytes: Uint8Array): string {
   return createHash('sha256').update(bytes).digest('hex');
 }
 
-/** Brings one version into memory: from members that hold its pieces, and from the origin. */
+/**
+ * Fetches one version into memory, from the members that hold its pieces and from the origin. A piece is
+ * a chunk of the `HolderTransfer`, which decides what to fetch from where.
+ */
 export class VersionFetch {
   readonly held: HeldVersion;
 
@@ -51,19 +56,19 @@
 
   private readonly running = new Map<ChunkFetch, AbortController>();
 
-  private group: FetchGroup = { members: [], origin: '' };
+  private sources: FetchSources = { members: [], origin: '' };
 
   private signal: AbortSignal = AbortSignal.abort();
 
   constructor(
     manifest: PieceManifest,
     self: WeightMember,
-    private readonly services: FetchServices,
-    /** Time in which the origin's link passes one piece, in milliseconds. */
+    private readonly dependencies: FetchDependencies,
+    /** Transfer time of one piece over the origin's link, in milliseconds. */
     originPieceMs: number,
-    private readonly onPiece: (piece: number) => void,
+    private readonly onPieceReceived: (piece: number) => void,
   ) {
-    const { random, clock } = services;
+    const { random, clock } = dependencies;
     this.held = new HeldVersion(manifest);
     const limits = { ...holderDefaults, originChunkMs: originPieceMs };
     const pieces = manifest.digests.length;
@@ -74,67 +79,67 @@
     return this.transfer.isComplete;
   }
 
-  /** Part of the pieces that are here. */
+  /** Fraction of the pieces that are held, from 0 to 1. */
   get progress(): number {
     return 1 - this.transfer.remaining / this.transfer.chunks;
   }
 
-  /** Members of other regions to tell that a piece is here. */
-  waitingElsewhere(piece: number): WeightMember[] {
+  /** Members of other regions that wait for this one to announce a piece. */
+  remoteReceivers(piece: number): WeightMember[] {
     return this.transfer.waitingElsewhere(piece);
   }
 
-  /** Members of other regions to ask what they hold. */
-  askedElsewhere(): WeightMember[] {
+  /** Members of other regions from which this one fetches missing pieces. */
+  remoteSources(): WeightMember[] {
     return this.transfer.askedElsewhere();
   }
 
-  regroup(group: FetchGroup): void {
-    this.group = group;
-    this.transfer.regroup(group.members);
+  updateSources(sources: FetchSources): void {
+    this.sources = sources;
+    this.transfer.regroup(sources.members);
   }
 
-  /** Fetches at once. */
+  /** Sets the maximum number of concurrent fetches from members. */
   setWindow(window: number): void {
     this.transfer.window = window;
   }
 
-  /** Another agent serves this version, so it holds all pieces. */
-  learnWhole(name: string): void {
-    const { transfer, services } = this;
-    transfer.learn(name, new Uint8Array(transfer.chunks).fill(1), 0, services.clock.now());
+  /** Records that a member holds all pieces, because it serves this version. */
+  markComplete(name: string): void {
+    const { transfer, dependencies } = this;
+    transfer.learn(name, new Uint8Array(transfer.chunks).fill(1), 0, dependencies.clock.now());
   }
 
-  /** Another agent said what it holds. */
-  learn(name: string, bitmap: Uint8Array, giving: number): void {
+  /** Records which pieces a member holds and how many transfers it is sending. */
+  updateHeldPieces(name: string, bitmap: Uint8Array, sending: number): void {
     this.transfer.learn(
       name,
-      flagsOf(bitmap, this.transfer.chunks),
-      giving,
-      this.services.clock.now(),
+      bitmapToFlags(bitmap, this.transfer.chunks),
+      sending,
+      this.dependencies.clock.now(),
     );
-    this.launch();
+    this.startFetches();
   }
 
-  /** Takes a piece from elsewhere, if it is the right one; returns whether it was. */
-  adopt(piece: number, bytes: Uint8Array): boolean {
-    if (digestOf(bytes) !== this.held.manifest.digests[piece]) return false;
-    this.held.put(piece, bytes);
+  /** Adds a piece if its digest matches; returns whether it does. */
+  addIfValid(piece: number, bytes: Uint8Array): boolean {
+    if (sha256Hex(bytes) !== this.held.manifest.digests[piece]) return false;
+    this.held.add(piece, bytes);
     this.transfer.has(piece);
     return true;
   }
 
-  /** Runs until the version is complete; rejects when the signal fires. */
+  /** Fetches until the version is complete; rejects when the signal fires. */
   async run(signal: AbortSignal): Promise<HeldVersion> {
     const ended = new AbortController();
     this.signal = AbortSignal.any([signal, ended.signal]);
     try {
       while (!this.isComplete) {
-        this.begin(this.transfer.hedge(this.services.clock.now()));
+        this.runFetches(this.transfer.hedge(this.dependencies.clock.now()));
         this.running.forEach((abort, fetch) => {
           if (!this.transfer.isRunning(fetch)) abort.abort();
         });
-        await this.services.clock.sleep(lookMs, signal);
+        await this.dependencies.clock.sleep(checkIntervalMs, signal);
       }
       return this.held;
     } finally {
@@ -142,39 +147,40 @@
     }
   }
 
-  private launch(): void {
-    if (!this.signal.aborted) this.begin(this.transfer.start(this.services.clock.now()));
+  private startFetches(): void {
+    if (!this.signal.aborted) this.runFetches(this.transfer.start(this.dependencies.clock.now()));
   }
 
-  private begin(fetches: readonly ChunkFetch[]): void {
+  private runFetches(fetches: readonly ChunkFetch[]): void {
     fetches.forEach((fetch) => {
       const abort = new AbortController();
       this.running.set(fetch, abort);
-      void this.fetch(fetch, AbortSignal.any([this.signal, abort.signal])).then(() => {
+      void this.fetchPiece(fetch, AbortSignal.any([this.signal, abort.signal])).then(() => {
         this.running.delete(fetch);
-        this.launch();
+        this.startFetches();
       });
     });
   }
 
-  private async fetch(fetch: ChunkFetch, signal: AbortSignal): Promise<void> {
+  private async fetchPiece(fetch: ChunkFetch, signal: AbortSignal): Promise<void> {
     const { chunk: piece, source } = fetch;
-    const { metrics, clock, log } = this.services;
+    const { metrics, clock, log } = this.dependencies;
     try {
-      const bytes = await this.read(fetch, signal);
-      if (!this.adopt(piece, bytes)) throw new Corrupted(`Piece ${piece} has another digest.`);
+      const bytes = await this.readPiece(fetch, signal);
+      if (!this.addIfValid(piece, bytes))
+        throw new Corrupted(`The digest of piece ${piece} does not match.`);
       this.transfer.succeeded(fetch, clock.now());
       metrics.count(source === origin ? 'pieces_from_origin' : 'pieces_from_members');
-      log.debug('Piece came.', {
+      log.debug('Piece received.', {
         piece,
         from: sourceName(source),
         ms: Math.round(clock.now() - fetch.startedAt),
       });
-      this.onPiece(piece);
+      this.onPieceReceived(piece);
     } catch (error) {
       if (signal.aborted) return;
       const failure = toFailure(error);
-      const fault = faultOf[failure.type] ?? FetchFault.unreachable;
+      const fault = faultByFailureType[failure.type] ?? FetchFault.unreachable;
       metrics.count(`piece_faults_${fault}`);
       const from = sourceName(source);
       log.debug('Piece not fetched.', { piece, from, fault, reason: failure.message });
@@ -182,39 +188,43 @@
     }
   }
 
-  private read({ chunk: piece, source }: ChunkFetch, signal: AbortSignal): Promise<Uint8Array> {
+  private readPiece(
+    { chunk: piece, source }: ChunkFetch,
+    signal: AbortSignal,
+  ): Promise<Uint8Array> {
     const { model, version } = this.held.manifest;
-    const { peers, origin: originClient } = this.services;
-    if (source !== origin) return peers.piece(source.name, version, piece, signal);
-    if (this.group.origin) {
-      return originClient.piece(this.group.origin, model, version, piece, signal);
+    const { peers, origin: originClient } = this.dependencies;
+    if (source !== origin) return peers.getPiece(source.name, version, piece, signal);
+    if (this.sources.origin) {
+      return originClient.getPiece(this.sources.origin, model, version, piece, signal);
     }
-    return Promise.reject(new Unavailable('There is no origin.', lookMs));
+    return Promise.reject(new Unavailable('No origin is configured.', checkIntervalMs));
   }
 }
 
-/** Takes the manifest of a version from a member that has it, else from the origin. */
+/** Fetches the manifest of a version from the first member that sends it, otherwise from the origin. */
 export async function fetchManifest(
   model: string,
   version: number,
   holders: readonly string[],
   originAddress: string,
-  services: FetchServices,
+  dependencies: FetchDependencies,
   signal: AbortSignal,
 ): Promise<PieceManifest> {
-  const { peers, origin: originClient, log } = services;
+  const { peers, origin: originClient, log } = dependencies;
   for (const host of holders) {
     try {
-      return await peers.manifest(host, version, signal);
+      return await peers.getManifest(host, version, signal);
     } catch (error) {
       signal.throwIfAborted();
-      log.debug('No manifest from a member.', { host, reason: toFailure(error).message });
+      log.debug('Manifest not fetched from member.', { host, reason: toFailure(error).message });
     }
   }
-  if (!originAddress) throw new NotFound('There is no origin to ask for the manifest.');
-  const first = await originClient.manifest(originAddress, model, version, signal);
-  const second = await originClient.manifest(originAddress, model, version, signal);
-  // The origin may send wrong bytes, and a wrong digest would never be noticed as such.
+  if (!originAddress)
+    throw new NotFound('No member sent the manifest and no origin is configured.');
+  const first = await originClient.getManifest(originAddress, model, version, signal);
+  const second = await originClient.getManifest(originAddress, model, version, signal);
+  // The origin may send corrupt bytes, and a wrong digest in the manifest could not be detected later.
   if (first.digests.join() === second.digests.join()) return first;
   throw new Corrupted('The origin sent two different manifests.');
 }
--- a/packages/sidecar/src/versionShelf.ts
+++ b/packages/sidecar/src/versionShelf.ts
@@ -1,30 +1,30 @@
 import type { HeldVersion } from './heldVersion.js';
 
-/** The versions of the weights that this process holds: the newest, and those still in use. */
-export class VersionShelf {
+/** Versions of the weights held in memory: the newest one and those still in use. */
+export class VersionCache {
   private readonly versions = new Map<number, HeldVersion>();
 
   get(version: number): HeldVersion | undefined {
     return this.versions.get(version);
   }
 
-  put(held: HeldVersion): void {
+  add(held: HeldVersion): void {
     this.versions.set(held.version, held);
   }
 
-  /** The newest version that is complete. */
-  newest(): HeldVersion | undefined {
+  /** The newest complete version. */
+  newestComplete(): HeldVersion | undefined {
     const complete = [...this.versions.values()].filter(({ isComplete }) => isComplete);
     return complete.reduce<HeldVersion | undefined>(
-      (best, held) => (best && best.version > held.version ? best : held),
+      (newest, held) => (newest && newest.version > held.version ? newest : held),
       undefined,
     );
   }
 
-  /** Drops versions older than one that is served. */
+  /** Drops the versions older than `version`. */
   dropBefore(version: number): void {
     [...this.versions.keys()]
-      .filter((known) => known < version)
-      .forEach((known) => this.versions.delete(known));
+      .filter((held) => held < version)
+      .forEach((held) => this.versions.delete(held));
   }
 }
--- a/packages/sidecar/src/weightKeeper.ts
+++ b/packages/sidecar/src/weightKeeper.ts
@@ -4,174 +4,187 @@
 import { Lifecycle } from '@laburnumstream/runtime';
 import type { Notifier } from '@laburnumstream/runtime';
 import { EngineStaging } from './engineStaging.js';
-import type { EngineWatch } from './engineWatch.js';
+import type { EngineMonitor } from './engineWatch.js';
 import type { FleetView } from './fleetView.js';
 import type { HeldVersion } from './heldVersion.js';
 import type { LocalEngine } from './localEngine.js';
 import type { PieceGossip } from './pieceGossip.js';
 import type { WeightState } from './reporter.js';
 import { VersionFetch, fetchManifest } from './versionFetch.js';
-import type { FetchServices } from './versionFetch.js';
-import type { VersionShelf } from './versionShelf.js';
+import type { FetchDependencies } from './versionFetch.js';
+import type { VersionCache } from './versionShelf.js';
 
-/** Fetches at once while the engine serves requests, and while it does not. */
-const windows = { serving: 4, idle: 6 } as const;
-/** Longest time between looks when nothing is heard to have changed, in milliseconds. */
-const lookMs = 1_000;
-/** Time between looks at an order that is carried out, in milliseconds. */
-const orderLookMs = 20;
-const pauseMs = 300;
-/** Time in which entries learn that the engine is about to switch, in milliseconds. */
-const noticeMs = 25;
-/** Time beyond the requests that run in which an order has to show, in milliseconds. */
-const orderTimeoutMs = 12_000;
-/** Members that are asked for a manifest before the origin. */
-const mostAsked = 2;
-/** Pieces in a row that do not match after which what lies at the engine is another version. */
-const mostMismatches = 2;
+/** Maximum number of concurrent fetches while the engine serves requests and while it does not. */
+const fetchWindows = { serving: 4, idle: 6 } as const;
+/** Maximum time to wait for a change before the state is checked again, in milliseconds. */
+const maxWaitMs = 1_000;
+/** Time between two polls of the engine during a load, in milliseconds. */
+const loadPollIntervalMs = 20;
+/** Delay before a failed fetch or switch is retried, in milliseconds. */
+const retryDelayMs = 300;
+/** Time between the report of a switch to the entries and the order to load, in milliseconds. */
+const switchNoticeMs = 25;
+/** Time after the order within which the engine must hold the version, in milliseconds. */
+const loadTimeoutMs = 12_000;
+/** Maximum number of members that are asked for a manifest before the origin. */
+const maxManifestPeers = 2;
+/** Mismatching staged pieces after which the engine is assumed to have staged another version. */
+const maxMismatches = 2;
 
-type KeeperEvent = 'WANTED' | 'DUE' | 'LOADED' | 'FAILED' | 'CHANGED' | 'RETRY';
+type UpdaterEvent = 'WANTED' | 'DUE' | 'LOADED' | 'FAILED' | 'CHANGED' | 'RETRY';
 
-/** Brings the engine beside this process to the version that operators want. */
-export class WeightKeeper {
-  private lifecycle: Lifecycle<KeeperEvent> | undefined;
+/** Updates the local engine to the version of the weights that operators want. */
+export class WeightUpdater {
+  private lifecycle: Lifecycle<UpdaterEvent> | undefined;
 
   private target: HeldVersion | undefined;
 
-  private switching = false;
+  private isSwitching = false;
 
   private readonly staging: EngineStaging;
 
   constructor(
     private readonly view: FleetView,
-    private readonly watch: EngineWatch,
+    private readonly monitor: EngineMonitor,
     private readonly engine: LocalEngine,
-    private readonly shelf: VersionShelf,
+    private readonly versions: VersionCache,
     private readonly gossip: PieceGossip,
-    private readonly services: FetchServices,
-    /** Notified when the engine, the fleet or the held versions have changed. */
+    private readonly dependencies: FetchDependencies,
+    /** Notified of changes of the engine, the fleet or the held versions. */
     private readonly changes: Notifier,
-    /** Time after a version's naming at which no request may begin on an older one. */
+    /** Time after operators name a version from which no request may start on an older one. */
     private readonly graceMs: number,
-    private readonly onUrgent: () => void,
+    private readonly onSwitchingChanged: () => void,
   ) {
-    this.staging = new EngineStaging(engine, services.metrics, services.log);
+    this.staging = new EngineStaging(engine, dependencies.metrics, dependencies.log);
   }
 
-  /** What entries are told of the weights. */
+  /** State of the weights, as reported to entries. */
   get weightState(): WeightState {
-    const { servedVersion: version, switching: isSwitching, view } = this;
+    const { servedVersion: version, isSwitching, view } = this;
     const isOutdated = version > 0 && version < view.version;
-    const newest = this.shelf.newest()?.version ?? 0;
+    const newest = this.versions.newestComplete()?.version ?? 0;
     const next = newest > version ? newest : view.version;
     const switchInMs = isOutdated ? this.switchDelayMs(next) : undefined;
     return { version, isSwitching, switchInMs };
   }
 
-  /** Version whose every layer the engine holds; 0 for none. */
+  /** Version of which the engine holds all layers; 0 for none. */
   get servedVersion(): number {
-    const layers = this.watch.state?.layers;
+    const layers = this.monitor.state?.layers;
     const isWhole = layers?.from === 0 && layers.to === this.view.layers;
     return isWhole ? layers.version : 0;
   }
 
-  /** Whether requests may come to the engine, so that weights leave room for their events. */
+  /**
+   * Whether the engine may receive or is running requests, so that weight transfers must leave room on
+   * the link for their events.
+   */
   get isServing(): boolean {
     const { servedVersion, graceMs, view } = this;
     const isInUse = servedVersion > 0 && view.outdatedMs(servedVersion) < graceMs;
-    return isInUse || (this.watch.state?.running ?? 0) > 0;
+    return isInUse || (this.monitor.state?.running ?? 0) > 0;
   }
 
-  /** Works until the signal fires. */
+  /** Fetches and switches versions until the signal fires. */
   run(chart: Chart, signal: AbortSignal): void {
     const handlers = {
       idle: (ended: AbortSignal) => this.awaitTarget(ended),
-      waiting: (ended: AbortSignal) => this.awaitTurn(ended),
-      switching: (ended: AbortSignal) => this.guarded(() => this.switchOver(ended)),
+      waiting: (ended: AbortSignal) => this.awaitSwitchTime(ended),
+      switching: (ended: AbortSignal) => this.catchFailure(() => this.switchVersion(ended)),
       pausing: (ended: AbortSignal) => this.pause(ended),
     };
-    this.lifecycle = new Lifecycle<KeeperEvent>(chart, handlers, this.log, signal);
+    this.lifecycle = new Lifecycle<UpdaterEvent>(chart, handlers, this.log, signal);
     void this.fetchVersions(signal);
   }
 
+  /** State of the chart `switch`; empty before `run`. */
   get state(): string {
     return this.lifecycle?.state ?? '';
   }
 
   private get log(): Log {
-    return this.services.log;
+    return this.dependencies.log;
   }
 
   private get clock(): Clock {
-    return this.services.clock;
+    return this.dependencies.clock;
   }
 
   private get metrics(): Metrics {
-    return this.services.metrics;
+    return this.dependencies.metrics;
   }
 
-  /** Keeps the wanted version in memory. */
+  /** Fetches the wanted version into memory whenever it changes. */
   private async fetchVersions(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const { version } = this.view;
-      const isNeeded = version > 0 && this.watch.state && !this.shelf.get(version)?.isComplete;
+      const isNeeded = version > 0 && this.monitor.state && !this.versions.get(version)?.isComplete;
       try {
         if (isNeeded) await this.fetchVersion(version, signal);
-        else await this.changes.wait(lookMs, signal);
+        else await this.changes.wait(maxWaitMs, signal);
       } catch (error) {
         if (signal.aborted) return;
         const { type, message } = toFailure(error);
         this.log.info('Version not fetched.', { version, type, reason: message });
-        await this.clock.sleep(pauseMs, signal).catch(() => undefined);
+        await this.clock.sleep(retryDelayMs, signal).catch(() => undefined);
       }
     }
   }
 
   private async fetchVersion(version: number, signal: AbortSignal): Promise<void> {
-    const { view, services, gossip } = this;
+    const { view, dependencies, gossip } = this;
     const startedAt = this.clock.now();
-    const serving = view.serving(version).filter(({ region }) => region === view.self.region);
+    const serving = view
+      .membersServing(version)
+      .filter(({ region }) => region === view.self.region);
     const manifest = await fetchManifest(
       view.model,
       version,
-      serving.slice(0, mostAsked).map(({ name }) => name),
+      serving.slice(0, maxManifestPeers).map(({ name }) => name),
       view.origin,
-      services,
+      dependencies,
       signal,
     );
-    const fetch = new VersionFetch(manifest, view.self, services, view.originPieceMs, (piece) =>
-      gossip.pieceCame(piece),
+    const fetch = new VersionFetch(manifest, view.self, dependencies, view.originPieceMs, (piece) =>
+      gossip.announcePiece(piece),
     );
-    this.shelf.put(fetch.held);
+    this.versions.add(fetch.held);
     await this.adoptStaged(fetch, signal);
-    const changed = new AbortController();
-    const ended = AbortSignal.any([signal, changed.signal]);
-    const following = Promise.all([this.follow(fetch, changed, signal), gossip.run(fetch, ended)]);
+    const superseded = new AbortController();
+    const ended = AbortSignal.any([signal, superseded.signal]);
+    const tracking = Promise.all([
+      this.trackFleet(fetch, superseded, signal),
+      gossip.run(fetch, ended),
+    ]);
     try {
       await fetch.run(ended);
       this.changes.notify();
       this.log.info('Version complete.', { version, ms: Math.round(this.clock.now() - startedAt) });
       this.metrics.observe('version_fetch', this.clock.now() - startedAt);
     } finally {
-      changed.abort();
-      await following;
+      superseded.abort();
+      await tracking;
     }
   }
 
-  /** Keeps a transfer informed of the members, and ends it when another version is wanted. */
-  private async follow(
+  /**
+   * Updates a transfer with the members of the fleet, and aborts it when another version is wanted and
+   * it is not worth finishing.
+   */
+  private async trackFleet(
     fetch: VersionFetch,
-    changed: AbortController,
+    superseded: AbortController,
     signal: AbortSignal,
   ): Promise<void> {
     const { view } = this;
     const { version } = fetch.held;
-    while (!changed.signal.aborted && !signal.aborted) {
-      fetch.regroup({ members: view.members, origin: view.origin });
-      view.serving(version).forEach(({ name }) => fetch.learnWhole(name));
-      fetch.setWindow(this.isServing ? windows.serving : windows.idle);
-      if (view.version !== version && !this.isWorthFinishing(fetch)) changed.abort();
-      await this.changes.wait(lookMs, changed.signal).catch(() => undefined);
+    while (!superseded.signal.aborted && !signal.aborted) {
+      fetch.updateSources({ members: view.members, origin: view.origin });
+      view.membersServing(version).forEach(({ name }) => fetch.markComplete(name));
+      fetch.setWindow(this.isServing ? fetchWindows.serving : fetchWindows.idle);
+      if (view.version !== version && !this.isWorthFinishing(fetch)) superseded.abort();
+      await this.changes.wait(maxWaitMs, superseded.signal).catch(() => undefined);
     }
   }
 
@@ -181,15 +194,15 @@
     return isWorthFinishing({ progress, outdatedMs, graceMs, loadMs: view.loadMs });
   }
 
-  /** Takes the pieces that lie at the engine, after a restart of this process or of the engine. */
+  /** Reuses pieces staged at the engine, which outlive restarts of this process and of the engine. */
   private async adoptStaged(fetch: VersionFetch, signal: AbortSignal): Promise<void> {
     const { model } = fetch.held.manifest;
     let mismatches = 0;
     try {
-      for (const piece of await this.engine.stagedPieces(model, signal)) {
-        const bytes = await this.engine.stagedPiece(model, piece, signal);
-        if (!fetch.adopt(piece, bytes)) mismatches += 1;
-        if (mismatches >= mostMismatches) return;
+      for (const piece of await this.engine.listStagedPieces(model, signal)) {
+        const bytes = await this.engine.getStagedPiece(model, piece, signal);
+        if (!fetch.addIfValid(piece, bytes)) mismatches += 1;
+        if (mismatches >= maxMismatches) return;
       }
     } catch (error) {
       signal.throwIfAborted();
@@ -197,28 +210,29 @@
     }
   }
 
-  private async awaitTarget(signal: AbortSignal): Promise<KeeperEvent | undefined> {
+  /** Waits until a newer version than the served one is complete. */
+  private async awaitTarget(signal: AbortSignal): Promise<UpdaterEvent | undefined> {
     while (!signal.aborted) {
-      const newest = this.shelf.newest();
+      const newest = this.versions.newestComplete();
       const served = this.servedVersion;
-      if (newest && newest.version > served && this.watch.isAnswering) {
+      if (newest && newest.version > served && this.monitor.isAnswering) {
         this.target = newest;
         return 'WANTED';
       }
-      if (served > 0) this.shelf.dropBefore(served);
-      await this.changes.wait(lookMs, signal);
+      if (served > 0) this.versions.dropBefore(served);
+      await this.changes.wait(maxWaitMs, signal);
     }
     return undefined;
   }
 
-  /** An engine without weights loads at once; others one after the other. */
-  private async awaitTurn(signal: AbortSignal): Promise<KeeperEvent> {
+  /** Waits for this engine's turn to switch; an engine without weights loads immediately. */
+  private async awaitSwitchTime(signal: AbortSignal): Promise<UpdaterEvent> {
     const { version } = this.target!;
     while (this.servedVersion > 0) {
-      if (version !== this.shelf.newest()?.version) return 'CHANGED';
+      if (version !== this.versions.newestComplete()?.version) return 'CHANGED';
       const delay = this.switchDelayMs(version);
       if (delay <= 0) break;
-      await this.changes.wait(Math.min(delay, lookMs), signal);
+      await this.changes.wait(Math.min(delay, maxWaitMs), signal);
     }
     return 'DUE';
   }
@@ -234,45 +248,52 @@
     });
   }
 
-  private async switchOver(signal: AbortSignal): Promise<KeeperEvent> {
+  private async switchVersion(signal: AbortSignal): Promise<UpdaterEvent> {
     const target = this.target!;
     const { model, version } = target.manifest;
-    await this.staging.put(target, signal);
-    this.switching = true;
-    this.onUrgent();
+    await this.staging.stage(target, signal);
+    this.isSwitching = true;
+    this.onSwitchingChanged();
     try {
-      await this.clock.sleep(noticeMs, signal);
-      await this.watch.ask(signal);
-      const { state } = this.watch;
-      if (!state || !this.watch.isAnswering) throw new Unavailable('The engine is away.', pauseMs);
-      await this.engine.load(model, version, state.orders, signal);
-      this.log.info('Load ordered.', { version, running: state.running, orders: state.orders });
+      await this.clock.sleep(switchNoticeMs, signal);
+      await this.monitor.poll(signal);
+      const { state } = this.monitor;
+      if (!state || !this.monitor.isAnswering)
+        throw new Unavailable('The engine does not respond.', retryDelayMs);
+      await this.engine.orderLoad(model, version, state.acceptedOrders, signal);
+      this.log.info('Load ordered.', {
+        version,
+        running: state.running,
+        orders: state.acceptedOrders,
+      });
       await this.awaitLoaded(version, state.bornAt, signal);
       return 'LOADED';
     } finally {
-      this.switching = false;
-      this.onUrgent();
+      this.isSwitching = false;
+      this.onSwitchingChanged();
     }
   }
 
   private async awaitLoaded(version: number, bornAt: number, signal: AbortSignal): Promise<void> {
-    const until = this.clock.now() + orderTimeoutMs;
+    const deadline = this.clock.now() + loadTimeoutMs;
     while (this.servedVersion !== version) {
-      if (this.watch.state?.bornAt !== bornAt) throw new Unavailable('The engine restarted.', 0);
-      if (this.clock.now() > until) throw new Unavailable('The engine did not load.', 0);
-      await this.watch.ask(signal);
-      await this.clock.sleep(orderLookMs, signal);
+      if (this.monitor.state?.bornAt !== bornAt) throw new Unavailable('The engine restarted.', 0);
+      if (this.clock.now() > deadline)
+        throw new Unavailable('The engine did not load the version in time.', 0);
+      await this.monitor.poll(signal);
+      await this.clock.sleep(loadPollIntervalMs, signal);
     }
     this.log.info('Weights loaded.', { version });
     this.metrics.count('versions_loaded');
   }
 
-  private async pause(signal: AbortSignal): Promise<KeeperEvent> {
-    await this.clock.sleep(pauseMs, signal);
+  private async pause(signal: AbortSignal): Promise<UpdaterEvent> {
+    await this.clock.sleep(retryDelayMs, signal);
     return 'RETRY';
   }
 
-  private async guarded(step: () => Promise<KeeperEvent>): Promise<KeeperEvent> {
+  /** Runs a step and turns its failure into the event `FAILED`. */
+  private async catchFailure(step: () => Promise<UpdaterEvent>): Promise<UpdaterEvent> {
     try {
       return await step();
     } catch (error) {
