--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -90,7 +90,7 @@
   {
     name: 'shared secret',
     file: 'packages/links/dist/secrets.js',
-    find: 'return this.list.some((secret) => equal(secret, given));',
+    find: 'return this.accepted.some((secret) => constantTimeEqual(secret, received));',
     replace: 'return true;',
     test: 'Calls between own processes: wrong secret',
   },
--- a/bench/src/simulatedMembers.ts
+++ b/bench/src/simulatedMembers.ts
@@ -15,8 +15,8 @@
   Secrets,
   createClient,
   serveInternal,
-  toMember,
-  toRecord,
+  toMemberMessage,
+  toMemberRecord,
 } from '@laburnumstream/links';
 import type { ConnectRouter } from '@laburnumstream/links';
 import { EntryService } from '@laburnumstream/protocol';
@@ -108,7 +108,7 @@
   /** Sends what other members would send to this entry, and restarts one member at each pause. */
   async talkTo(real: Peer, restartPauseMs: number, signal: AbortSignal): Promise<void> {
     const links = new LinkPool(new Secrets([this.secret]), linkAgeMs, () => 0, signal);
-    const client = createClient(EntryService, links.to(real.address));
+    const client = createClient(EntryService, links.transportTo(real.address));
     const entries: Peer[] = [...this.records.filter(({ role }) => role === 'entry'), real];
     const agents = this.records.filter(({ role }) => role === 'agent');
     const beating = agents.filter((agent) =>
@@ -117,13 +117,13 @@
     const asking = entries.filter((entry) => this.asks(entry, real, entries));
     const beat = (record: MemberRecord) => {
       this.beats += 1;
-      const member = toMember({ ...record, beat: this.beats });
+      const member = toMemberMessage({ ...record, beat: this.beats });
       return client.beat({ member, configurationRevision: 1n }, { signal });
     };
     const ask = (entry: Peer) => {
       const record = this.records.find(({ name }) => name === entry.name)!;
       this.beats += 1;
-      const self = toMember({ ...record, beat: this.beats });
+      const self = toMemberMessage({ ...record, beat: this.beats });
       const { digest } = this.members;
       return client.exchange({ self, members: [], digest, ages: this.ages() }, { signal });
     };
@@ -162,10 +162,10 @@
   }
 
   private answer(request: ExchangeRequest) {
-    request.members.forEach((member) => this.members.learn(toRecord(member), 0));
-    if (request.self) this.members.learn(toRecord(request.self), 0);
+    request.members.forEach((member) => this.members.learn(toMemberRecord(member), 0));
+    if (request.self) this.members.learn(toMemberRecord(request.self), 0);
     const { records } = this.members.changesAfter(request.all ? 0 : this.lastRestart);
-    const members = records.map(toMember);
+    const members = records.map(toMemberMessage);
     return { members, digest: this.members.digest, ages: this.ages(), knownIncarnation: 0n };
   }
 
--- a/packages/agent/src/configurationFollower.ts
+++ b/packages/agent/src/configurationFollower.ts
@@ -28,7 +28,7 @@
     if (this.syncing || Number(revision) <= this.current.revision) return;
     this.syncing = true;
     try {
-      const client = createClient(EntryService, this.links.to(entry.address));
+      const client = createClient(EntryService, this.links.transportTo(entry.address));
       const request = { configurationRevision: BigInt(this.current.revision) };
       const options = { signal, timeoutMs: syncTimeoutMs };
       const { document } = await client.sync(request, options);
--- a/packages/agent/src/heartbeat.ts
+++ b/packages/agent/src/heartbeat.ts
@@ -71,7 +71,7 @@
   private async beat(entry: Peer, signal: AbortSignal): Promise<boolean> {
     try {
       this.beats += 1;
-      const client = createClient(EntryService, this.links.to(entry.address));
+      const client = createClient(EntryService, this.links.transportTo(entry.address));
       const { incarnation } = this;
       const beat = BigInt(this.beats);
       const member = { ...this.report(), incarnation: BigInt(incarnation), beat };
--- a/packages/entry/src/crashGuard.ts
+++ b/packages/entry/src/crashGuard.ts
@@ -95,7 +95,7 @@
 
   private async send(peer: Instance, verdicts: SharedVerdict[]): Promise<void> {
     try {
-      const client = createClient(EntryService, this.links.to(peer.address));
+      const client = createClient(EntryService, this.links.transportTo(peer.address));
       const answer = await client.shareVerdicts({ verdicts }, { timeoutMs: exchangeMs });
       this.book.merge(answer.verdicts, this.clock.now());
     } catch (error) {
--- a/packages/entry/src/directory.ts
+++ b/packages/entry/src/directory.ts
@@ -1,7 +1,7 @@
 import type { Clock, Random } from '@laburnumstream/common';
 import { MemberState, Membership, ReturnRamp, Standing } from '@laburnumstream/decisions';
 import type { Candidate, MemberRecord, UnfitVersion } from '@laburnumstream/decisions';
-import { toRecord } from '@laburnumstream/links';
+import { toMemberRecord } from '@laburnumstream/links';
 import type { EndpointLoad, Member } from '@laburnumstream/protocol';
 
 /** What this entry adds to an agent's record: the load last reported. */
@@ -65,7 +65,7 @@
 
   /** Takes a heartbeat; returns the newest incarnation known of the member. */
   beat(member: Member): number {
-    const record = toRecord(member);
+    const record = toMemberRecord(member);
     const known = this.members.hear(record, this.clock.now());
     if (known === record.incarnation) this.note(record, member.load);
     return known;
@@ -73,7 +73,7 @@
 
   /** Takes a record from another entry. */
   learn(member: Member): void {
-    const record = toRecord(member);
+    const record = toMemberRecord(member);
     if (this.members.learn(record, this.clock.now())) this.note(record, undefined);
   }
 
--- a/packages/entry/src/linkedPeers.ts
+++ b/packages/entry/src/linkedPeers.ts
@@ -14,7 +14,7 @@
   ) {}
 
   async sync(peer: Instance, revision: number, signal: AbortSignal): Promise<PeerAnswer> {
-    const client = createClient(EntryService, this.links.to(peer.address));
+    const client = createClient(EntryService, this.links.transportTo(peer.address));
     const request = { configurationRevision: BigInt(revision) };
     const answer = await client.sync(request, { signal, timeoutMs });
     return {
@@ -26,7 +26,7 @@
   }
 
   async announce(peer: Instance, revision: number, signal: AbortSignal): Promise<void> {
-    const client = createClient(EntryService, this.links.to(peer.address));
+    const client = createClient(EntryService, this.links.transportTo(peer.address));
     const request = { configurationRevision: BigInt(revision), ...this.self };
     await client.announce(request, { signal, timeoutMs });
   }
--- a/packages/entry/src/memberExchange.ts
+++ b/packages/entry/src/memberExchange.ts
@@ -8,7 +8,7 @@
   Standing,
 } from '@laburnumstream/decisions';
 import type { MemberRecord, Peer } from '@laburnumstream/decisions';
-import { createClient, toMember, toRecord } from '@laburnumstream/links';
+import { createClient, toMemberMessage, toMemberRecord } from '@laburnumstream/links';
 import type { LinkPool, MessageInitShape } from '@laburnumstream/links';
 import { EntryService, ExchangeResponseSchema } from '@laburnumstream/protocol';
 import type { DataCentreAge, ExchangeRequest, ExchangeResponse } from '@laburnumstream/protocol';
@@ -132,7 +132,7 @@
     view.cursor = cursor;
     if (members.revision !== before) this.nudge();
     return {
-      members: records.map(toMember),
+      members: records.map(toMemberMessage),
       digest: members.digest,
       ages: this.ages(now),
       knownIncarnation: BigInt(knownIncarnation),
@@ -194,13 +194,13 @@
       const all = this.wantsAll(view);
       const { records, cursor } = this.directory.members.changesAfter(all ? 0 : view.cursor);
       const request = {
-        self: toMember(this.renew()),
-        members: records.map(toMember),
+        self: toMemberMessage(this.renew()),
+        members: records.map(toMemberMessage),
         digest: this.directory.members.digest,
         ages: this.ages(this.clock.now()),
         all,
       };
-      const client = createClient(EntryService, this.links.to(peer.address));
+      const client = createClient(EntryService, this.links.transportTo(peer.address));
       const answer = await client.exchange(request, { signal, timeoutMs: answerMs });
       this.accept(view, cursor, answer);
       this.informed ||= all && answer.members.some(({ role }) => role === 'agent');
@@ -257,7 +257,7 @@
   private hear(self: NonNullable<ExchangeRequest['self']>): number {
     if (self.dataCentre === this.self.dataCentre) return this.directory.beat(self);
     this.directory.learn(self);
-    return this.directory.members.get(toRecord(self).name)?.incarnation ?? 0;
+    return this.directory.members.get(toMemberRecord(self).name)?.incarnation ?? 0;
   }
 
   private ages(now: number): { dataCentre: string; ageMs: number }[] {
--- a/packages/entry/src/prober.ts
+++ b/packages/entry/src/prober.ts
@@ -64,7 +64,10 @@
       return;
     }
     try {
-      await createClient(AgentService, this.links.to(address)).probe({}, { signal, timeoutMs });
+      await createClient(AgentService, this.links.transportTo(address)).probe(
+        {},
+        { signal, timeoutMs },
+      );
       this.directory.clear(name);
       this.trials.delete(name);
     } catch {
--- a/packages/links/src/fleetDatagrams.ts
+++ b/packages/links/src/fleetDatagrams.ts
@@ -13,47 +13,53 @@
   PieceNews,
 } from '@laburnumstream/protocol';
 
-/** What a datagram carries. */
+/** Content of a datagram. */
 export type DatagramContent = NonNullable<MessageInitShape<typeof DatagramSchema>['content']>;
 
-/** Where a datagram comes from. */
-export interface DatagramOrigin {
+/** Source of a datagram. */
+export interface DatagramSource {
   /** Name of the sending process. */
   readonly sender: string;
-  /** IP */
+  /** IP of the sender. */
   readonly host: string;
 }
 
-/** What is done with each kind of datagram. */
+/** Handlers by kind of datagram; a kind without a handler is ignored. */
 export interface DatagramHandlers {
-  fleet?(news: FleetNews, from: DatagramOrigin): void;
-  report?(report: EndpointReport, from: DatagramOrigin): void;
-  pieces?(news: PieceNews, from: DatagramOrigin): void;
-  load?(load: EntryLoad, from: DatagramOrigin): void;
+  fleet?(announcement: FleetNews, from: DatagramSource): void;
+  report?(report: EndpointReport, from: DatagramSource): void;
+  pieces?(message: PieceNews, from: DatagramSource): void;
+  load?(load: EntryLoad, from: DatagramSource): void;
 }
 
-/** The last datagram of a sender. */
-interface Heard {
+/** The last accepted datagram of a sender. */
+interface LastDatagram {
   readonly startedAt: bigint;
   readonly sequence: number;
   /** Monotonic time, in milliseconds. */
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
-/** Silence after which a sender may begin again with an earlier start, in milliseconds. */
-const forgetMs = 3_000;
+/**
+ * Time without a datagram after which any datagram of a sender is accepted, even with an earlier start,
+ * in milliseconds.
+ */
+const senderTimeoutMs = 3_000;
 
-/** Sends and receives the datagrams between the system's own processes; drops late ones. */
+/**
+ * Sends and receives datagrams between the system's own processes. Drops datagrams that arrive after a
+ * later one of the same sender.
+ */
 export class FleetDatagrams {
   private readonly socket: Socket = createSocket('udp4');
 
-  private readonly heard = new Map<string, Heard>();
+  private readonly lastDatagrams = new Map<string, LastDatagram>();
 
   private readonly startedAt: bigint;
 
   private sequence = 0;
 
-  /** Port of the own socket and of all others; undefined before `bind`. */
+  /** Port of this socket and of all others; undefined before `bind` and after the signal has fired. */
   private port: number | undefined;
 
   constructor(
@@ -70,7 +76,7 @@
     });
   }
 
-  /** Binds the socket, which closes when the signal fires. */
+  /** Binds the socket until the signal fires. */
   bind(host: string, port: number, signal: AbortSignal): Promise<void> {
     signal.addEventListener('abort', () => {
       this.port = undefined;
@@ -84,12 +90,15 @@
     });
   }
 
-  /** Sends to another process, whose socket is bound to the same port; nothing before `bind` and after its end. */
+  /**
+   * Sends a datagram to another process, whose socket is bound to the same port. Does nothing before
+   * `bind` and after the signal has fired.
+   */
   send(content: DatagramContent, host: string): void {
     this.sendAll(content, [host]);
   }
 
-  /** Sends the same to several processes; it is encoded once. */
+  /** Sends the same datagram to several processes, encoding it once. */
   sendAll(content: DatagramContent, hosts: readonly string[]): void {
     const { port } = this;
     if (port === undefined || hosts.length === 0) return;
@@ -99,10 +108,10 @@
       DatagramSchema,
       create(DatagramSchema, { sender, sequence, startedAt, content }),
     );
-    const noteFailure = (error: Error | null): void => {
+    const onSent = (error: Error | null): void => {
       if (error) this.metrics.count('datagrams_not_sent');
     };
-    hosts.forEach((host) => this.socket.send(bytes, port, host, noteFailure));
+    hosts.forEach((host) => this.socket.send(bytes, port, host, onSent));
   }
 
   private receive(bytes: Buffer, host: string): void {
@@ -111,7 +120,7 @@
       datagram = fromBinary(DatagramSchema, bytes);
     } catch (error) {
       this.metrics.count('datagrams_unreadable');
-      this.log.debug('Datagram not readable.', { host, reason: toFailure(error).message });
+      this.log.debug('Malformed datagram dropped.', { host, reason: toFailure(error).message });
       return;
     }
     if (!this.isNew(datagram)) {
@@ -127,14 +136,13 @@
   }
 
   private isNew({ sender, sequence, startedAt }: Datagram): boolean {
-    const known = this.heard.get(sender);
-    const at = this.clock.now();
+    const last = this.lastDatagrams.get(sender);
+    const receivedAt = this.clock.now();
     const isLate =
-      known !== undefined &&
-      at - known.at < forgetMs &&
-      (startedAt < known.startedAt ||
-        (startedAt === known.startedAt && sequence <= known.sequence));
-    if (!isLate) this.heard.set(sender, { startedAt, sequence, at });
+      last !== undefined &&
+      receivedAt - last.receivedAt < senderTimeoutMs &&
+      (startedAt < last.startedAt || (startedAt === last.startedAt && sequence <= last.sequence));
+    if (!isLate) this.lastDatagrams.set(sender, { startedAt, sequence, receivedAt });
     return !isLate;
   }
 }
--- a/packages/links/src/guardedSessions.ts
+++ b/packages/links/src/guardedSessions.ts
@@ -3,22 +3,23 @@
 
 type RequestArguments = Parameters<Http2SessionManager['request']>;
 
-const ignore = (): void => undefined;
+const ignoreError = (): void => undefined;
 
 /**
- * A session manager whose connections may fail at any time. The base class removes its error
- * listener when it is aborted; a connection that a ping timeout has destroyed just before emits its
- * error after that, which would end the process. The streams report the failure to their callers.
+ * A session manager with an error listener on each connection. The base class removes its own listener
+ * when it is aborted. A connection that was destroyed by a ping timeout just before emits its error
+ * after that, and without a listener the error would end the process. Callers learn of the failure
+ * from their streams.
  */
-export class GuardedSessions extends Http2SessionManager {
-  private readonly guarded = new WeakSet<ClientHttp2Session>();
+export class GuardedSessionManager extends Http2SessionManager {
+  private readonly guardedSessions = new WeakSet<ClientHttp2Session>();
 
   override async request(...args: RequestArguments): Promise<ClientHttp2Stream> {
     const stream = await super.request(...args);
     const { session } = stream;
-    if (session && !this.guarded.has(session as ClientHttp2Session)) {
-      this.guarded.add(session as ClientHttp2Session);
-      session.on('error', ignore);
+    if (session && !this.guardedSessions.has(session as ClientHttp2Session)) {
+      this.guardedSessions.add(session as ClientHttp2Session);
+      session.on('error', ignoreError);
     }
     return stream;
   }
--- a/packages/links/src/index.ts
+++ b/packages/links/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls between the system's own processes. */
+/** Connections, calls and datagrams between the system's own processes. */
 export { createClient } from '@connectrpc/connect';
 export type { Client, ConnectRouter, ServiceImpl } from '@connectrpc/connect';
 export { create } from '@bufbuild/protobuf';
--- a/packages/links/src/internalServer.ts
+++ b/packages/links/src/internalServer.ts
@@ -8,44 +8,44 @@
 import type { Secrets } from './secrets.js';
 import { secretHeader } from './transport.js';
 
-/** Largest message between own processes, in bytes. */
+/** Maximum size of a message, in bytes. */
 const maxMessageBytes = 8_388_608;
 
-const drainPollMs = 20;
+const drainPollIntervalMs = 20;
 
-/** Refuses calls that carry none of the accepted secrets. */
+/** Rejects calls without an accepted secret. */
 function requireSecret(secrets: Secrets, metrics: Metrics): Interceptor {
   return (next) => (request) => {
-    const given = request.header.get(secretHeader) ?? '';
-    if (secrets.accepts(given)) return next(request);
+    const secret = request.header.get(secretHeader) ?? '';
+    if (secrets.accepts(secret)) return next(request);
     metrics.count('internal_calls_unauthenticated');
     throw new ConnectError('The shared secret is wrong.', Code.Unauthenticated);
   };
 }
 
-/** Where an internal server listens and which secrets it accepts. */
-export interface InternalEndpoint {
+/** Address and secrets of an internal server. */
+export interface InternalServerOptions {
   readonly host: string;
   readonly port: number;
   readonly secrets: Secrets;
 }
 
-/** A server of calls between own processes. */
+/** A running server of internal calls. */
 export interface InternalServer {
-  /** Tells peers to open no more calls here, and waits at most `limitMs` for the running ones. */
+  /** Tells peers to start no more calls and waits up to `limitMs` for the running ones. */
   drain(limitMs: number): Promise<void>;
 }
 
 /** Serves calls between the system's own processes over HTTP/2 until the signal fires. */
 export function serveInternal(
-  endpoint: InternalEndpoint,
+  options: InternalServerOptions,
   routes: (router: ConnectRouter) => void,
   metrics: Metrics,
   signal: AbortSignal,
 ): Promise<InternalServer> {
   const handler = connectNodeAdapter({
     routes,
-    interceptors: [requireSecret(endpoint.secrets, metrics)],
+    interceptors: [requireSecret(options.secrets, metrics)],
     readMaxBytes: maxMessageBytes,
     acceptCompression: [],
   });
@@ -64,10 +64,10 @@
     server.close();
     sessions.forEach((session) => session.close());
     const deadline = performance.now() + limitMs;
-    while (sessions.size > 0 && performance.now() < deadline) await sleep(drainPollMs);
+    while (sessions.size > 0 && performance.now() < deadline) await sleep(drainPollIntervalMs);
   };
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(endpoint.port, endpoint.host, () => resolve({ drain }));
+    server.listen(options.port, options.host, () => resolve({ drain }));
   });
 }
--- a/packages/links/src/linkPool.ts
+++ b/packages/links/src/linkPool.ts
@@ -3,19 +3,19 @@
 import { openLink } from './transport.js';
 import type { Link } from './transport.js';
 
-/** Time for which calls on a replaced connection may go on, in milliseconds. */
-const retireMs = 120_000;
+/** Time after which a replaced link is closed, even if calls still run on it, in milliseconds. */
+const retiredLinkTimeoutMs = 120_000;
 
-interface Pooled {
+interface PooledLink {
   readonly link: Link;
   readonly openedAt: number;
 }
 
-/** Keeps one link for each peer address and replaces it when it is old. */
+/** Keeps one link for each peer and replaces links that have reached their maximum age. */
 export class LinkPool {
-  private readonly links = new Map<string, Pooled>();
+  private readonly links = new Map<string, PooledLink>();
 
-  private readonly retired = new Map<Link, NodeJS.Timeout>();
+  private readonly retiredLinks = new Map<Link, NodeJS.Timeout>();
 
   constructor(
     private readonly secrets: Secrets,
@@ -26,8 +26,8 @@
     signal.addEventListener('abort', () => this.closeAll(), { once: true });
   }
 
-  /** The transport to a peer. */
-  to(address: string): Transport {
+  /** Returns the transport to a peer, opening a link if necessary. */
+  transportTo(address: string): Transport {
     const pooled = this.links.get(address);
     if (pooled && this.now() - pooled.openedAt < this.maxAgeMs) return pooled.link.transport;
     this.replace(address);
@@ -36,35 +36,35 @@
     return link.transport;
   }
 
-  /** Drops the link to a peer whose connection has gone silent. */
+  /** Closes the link to an unresponsive peer, with all calls that run on it. */
   drop(address: string): void {
     this.links.get(address)?.link.close();
     this.links.delete(address);
   }
 
-  /** Opens a new connection for the next call; calls that run on the present one go on. */
+  /** Makes the next call open a new link; running calls continue on the current one. */
   replace(address: string): void {
     const pooled = this.links.get(address);
     this.links.delete(address);
-    if (pooled) this.retire(pooled.link);
+    if (pooled) this.closeLater(pooled.link);
   }
 
-  /** Calls that run on an old connection end there; new ones go to its successor. */
-  private retire(link: Link): void {
+  /** Closes a replaced link after a time in which its running calls can end. */
+  private closeLater(link: Link): void {
     const timer = setTimeout(() => {
-      this.retired.delete(link);
+      this.retiredLinks.delete(link);
       link.close();
-    }, retireMs);
+    }, retiredLinkTimeoutMs);
     timer.unref();
-    this.retired.set(link, timer);
+    this.retiredLinks.set(link, timer);
   }
 
   private closeAll(): void {
     [...this.links.keys()].forEach((address) => this.drop(address));
-    this.retired.forEach((timer, link) => {
+    this.retiredLinks.forEach((timer, link) => {
       clearTimeout(timer);
       link.close();
     });
-    this.retired.clear();
+    this.retiredLinks.clear();
   }
 }
--- a/packages/links/src/memberMessages.ts
+++ b/packages/links/src/memberMessages.ts
@@ -4,34 +4,35 @@
 import { MemberSchema } from '@laburnumstream/protocol';
 import type { Member } from '@laburnumstream/protocol';
 
-const firstLimit = 1;
+/** Admission limit of members whose message contains no load. */
+const defaultLimit = 1;
 
-function stateOf({ gone, leaving }: Member): MemberState {
+function toMemberState({ gone, leaving }: Member): MemberState {
   if (gone) return MemberState.gone;
   return leaving ? MemberState.leaving : MemberState.alive;
 }
 
-/** The record that a message carries. */
-export function toRecord(member: Member): MemberRecord {
+/** Converts a message to a record. */
+export function toMemberRecord(member: Member): MemberRecord {
   const { name, region, dataCentre, service, address, serving, unfit } = member;
   return {
     name,
     role: member.role === 'entry' ? 'entry' : 'agent',
     incarnation: Number(member.incarnation),
     beat: Number(member.beat),
-    state: stateOf(member),
+    state: toMemberState(member),
     region,
     dataCentre,
     service,
     address,
     serving,
-    limit: member.load?.limit ?? firstLimit,
+    limit: member.load?.limit ?? defaultLimit,
     ...(unfit ? { unfit: { digest: unfit.digest, reason: unfit.reason } } : {}),
   };
 }
 
-/** A record as a message. */
-export function toMember(record: MemberRecord): Member {
+/** Converts a record to a message. */
+export function toMemberMessage(record: MemberRecord): Member {
   const { name, role, region, dataCentre, service, address, limit } = record;
   return create(MemberSchema, {
     name,
@@ -45,7 +46,7 @@
     serving: [...record.serving],
     leaving: record.state === MemberState.leaving,
     gone: record.state === MemberState.gone,
-    // Default values take no bytes: entries have no load.
+    // Absent fields take no bytes: entries have no load.
     ...(record.unfit ? { unfit: record.unfit } : {}),
     ...(role === 'agent' ? { load: { limit } } : {}),
   });
--- a/packages/links/src/refusals.ts
+++ b/packages/links/src/refusals.ts
@@ -6,27 +6,27 @@
 
 const unreachableRetryMs = 200;
 
-/** A failure as a message. */
+/** Converts an error to a message. */
 export function toRefusal(error: unknown): Refusal {
   const { type, message, status, execution, retryAfterMs, keyUnused } = toFailure(error);
   const refusal = { type, message, status, execution, keyUnused };
   return create(RefusalSchema, { ...refusal, retryAfterMs: retryAfterMs ?? 0 });
 }
 
-/** The failure that a refusal message carries. */
+/** Converts a message to a failure. */
 export function fromRefusal(refusal: Refusal): Failure {
-  const { type, message, status, execution, retryAfterMs: retry, keyUnused } = refusal;
+  const { type, message, status, execution, retryAfterMs, keyUnused } = refusal;
   const known = Object.values(Execution).find((value) => value === execution);
   return new Failure(type, message, {
     status,
     execution: known ?? Execution.unknown,
     keyUnused,
-    ...(retry > 0 ? { retryAfterMs: retry } : {}),
+    ...(retryAfterMs > 0 ? { retryAfterMs } : {}),
   });
 }
 
-/** Whether an error says that no connection to the peer came to be. */
-function refusedConnection(error: unknown): boolean {
+/** Whether an error or one of its causes is a refused connection. */
+function isConnectionRefused(error: unknown): boolean {
   let cause: unknown = error;
   while (cause instanceof Error) {
     if ((cause as { code?: unknown }).code === 'ECONNREFUSED') return true;
@@ -35,11 +35,14 @@
   return false;
 }
 
-/** Types a broken call: `not run` only when no connection came to be or the peer refused the secret. */
-export function linkFailure(error: unknown): Failure {
+/**
+ * Converts the error of a broken call to a failure. Its execution is `not run` only when the connection
+ * was refused or the peer rejected the secret.
+ */
+export function toLinkFailure(error: unknown): Failure {
   if (error instanceof Failure) return error;
   const refused = error instanceof ConnectError && error.code === Code.Unauthenticated;
-  if (refused || refusedConnection(error)) {
+  if (refused || isConnectionRefused(error)) {
     return new Unavailable('The peer cannot be reached.', unreachableRetryMs, error);
   }
   return new OutcomeUnknown(`The connection to the peer broke: ${String(error)}`, error);
--- a/packages/links/src/runSession.ts
+++ b/packages/links/src/runSession.ts
@@ -5,47 +5,49 @@
 import { Aborted, AsyncQueue, OutcomeUnknown } from '@laburnumstream/common';
 import { AgentService, SessionRequestSchema } from '@laburnumstream/protocol';
 import type { RunFrame, RunRequestSchema, SessionRequest } from '@laburnumstream/protocol';
-import { linkFailure } from './refusals.js';
+import { toLinkFailure } from './refusals.js';
 
-/** A request as handed to a session. */
+/** A request to be run in a session. */
 export type RunMessage = MessageInitShape<typeof RunRequestSchema> & {
   readonly id: string;
   readonly attempt: number;
 };
 
-const terminal: Readonly<Record<string, boolean>> = { end: true, refusal: true };
+/** Whether a kind of frame is the last one of its request. */
+const isTerminal: Readonly<Record<string, boolean>> = { end: true, refusal: true };
 
-function keyOf(id: string, attempt: number): string {
+function toRunKey(id: string, attempt: number): string {
   return `${id}/${attempt}`;
 }
 
-/** One open stream to an agent that carries many requests and their frames. */
+/** A stream to an agent that multiplexes requests and their frames. */
 export class RunSession {
   private readonly outgoing = new AsyncQueue<SessionRequest>();
 
   private readonly runs = new Map<string, AsyncQueue<RunFrame>>();
 
-  private closed = false;
+  private hasEnded = false;
 
-  private retiring = false;
+  private isClosing = false;
 
   constructor(transport: Transport, signal: AbortSignal) {
     void this.read(transport, signal);
   }
 
-  /** Whether the stream has ended, so that a new session is needed. */
+  /** Whether the stream has ended. A new session is needed then. */
   get isClosed(): boolean {
-    return this.closed;
+    return this.hasEnded;
   }
 
   /**
-   * The frames of one request, up to its end or refusal. Throws `Unavailable` when the agent was
-   * never reached and `OutcomeUnknown` when the stream broke.
+   * Runs a request and yields its frames, up to its end or refusal. Throws `Unavailable` when the agent
+   * was never reached and `OutcomeUnknown` when the stream broke. Cancels the request when the caller
+   * stops reading early.
    */
   async *run(message: RunMessage, signal: AbortSignal): AsyncGenerator<RunFrame> {
-    const key = keyOf(message.id, message.attempt);
+    const key = toRunKey(message.id, message.attempt);
     const frames = new AsyncQueue<RunFrame>();
-    if (this.closed) throw new OutcomeUnknown('The session has ended.');
+    if (this.hasEnded) throw new OutcomeUnknown('The session has ended.');
     this.runs.set(key, frames);
     this.send({ case: 'run', value: message });
     const abort = (): void => frames.fail(new Aborted());
@@ -53,7 +55,7 @@
     let ended = false;
     try {
       for await (const frame of frames) {
-        ended = terminal[frame.content.case ?? ''] === true;
+        ended = isTerminal[frame.content.case ?? ''] === true;
         yield frame;
         if (ended) return;
       }
@@ -63,13 +65,13 @@
       if (!ended) {
         this.send({ case: 'cancel', value: { id: message.id, attempt: message.attempt } });
       }
-      if (this.retiring) this.retire();
+      if (this.isClosing) this.closeWhenIdle();
     }
   }
 
-  /** Ends the stream when its last request has ended. */
-  retire(): void {
-    this.retiring = true;
+  /** Ends the stream once its last request has ended. */
+  closeWhenIdle(): void {
+    this.isClosing = true;
     if (this.runs.size === 0) this.outgoing.end();
   }
 
@@ -82,13 +84,13 @@
     try {
       const client = createClient(AgentService, transport);
       for await (const frame of client.session(this.outgoing, { signal })) {
-        // Frames of requests that have ended here are late ones and are dropped.
-        this.runs.get(keyOf(frame.id, frame.attempt))?.push(frame);
+        // Frames of requests that have already ended here are dropped.
+        this.runs.get(toRunKey(frame.id, frame.attempt))?.push(frame);
       }
     } catch (error) {
-      failure = linkFailure(error);
+      failure = toLinkFailure(error);
     }
-    this.closed = true;
+    this.hasEnded = true;
     this.outgoing.end();
     this.runs.forEach((frames) => frames.fail(failure));
   }
--- a/packages/links/src/runSessions.ts
+++ b/packages/links/src/runSessions.ts
@@ -10,7 +10,7 @@
   readonly abort: AbortController;
 }
 
-/** Keeps one session for each agent and opens a new one when it has ended. */
+/** Keeps one session for each agent and replaces sessions that have ended. */
 export class RunSessions {
   private readonly sessions = new Map<string, OpenSession>();
 
@@ -19,25 +19,25 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Runs a request at the agent with this address; see `RunSession.run`. */
+  /** Runs a request at an agent; see `RunSession.run`. */
   run(address: string, message: RunMessage, signal: AbortSignal): AsyncGenerator<RunFrame> {
-    return this.to(address).run(message, signal);
+    return this.sessionTo(address).run(message, signal);
   }
 
-  /** Drops the session and its connection, which have gone silent; the next run opens new ones. */
+  /** Closes the session and the link to an unresponsive agent; the next run opens new ones. */
   drop(address: string): void {
     this.sessions.get(address)?.abort.abort();
     this.sessions.delete(address);
     this.links.drop(address);
   }
 
-  private to(address: string): RunSession {
+  private sessionTo(address: string): RunSession {
     const known = this.sessions.get(address);
-    const transport = this.links.to(address);
+    const transport = this.links.transportTo(address);
     const isCurrent = known?.transport === transport && !known.session.isClosed;
     if (known && isCurrent) return known.session;
-    // The pool has replaced the connection: requests that run on the old one end there.
-    known?.session.retire();
+    // When the pool has replaced the link, running requests end on the old one.
+    known?.session.closeWhenIdle();
     const abort = new AbortController();
     const signal = AbortSignal.any([this.signal, abort.signal]);
     const session = new RunSession(transport, signal);
--- a/packages/links/src/secrets.ts
+++ b/packages/links/src/secrets.ts
@@ -1,24 +1,24 @@
 import { timingSafeEqual } from 'node:crypto';
 
-function equal(a: string, b: string): boolean {
+function constantTimeEqual(a: string, b: string): boolean {
   return a.length === b.length && timingSafeEqual(Buffer.from(a), Buffer.from(b));
 }
 
-/** The shared secrets between own processes: the first is sent, all are accepted. */
+/** Shared secrets of the system's own processes: the first one is sent, all are accepted. */
 export class Secrets {
-  constructor(private list: readonly string[]) {}
+  constructor(private accepted: readonly string[]) {}
 
-  /** The secret that own calls carry. */
-  get sent(): string {
-    return this.list[0] ?? '';
+  /** The secret that is sent with calls. */
+  get outgoing(): string {
+    return this.accepted[0] ?? '';
   }
 
-  accepts(given: string): boolean {
-    return this.list.some((secret) => equal(secret, given));
+  accepts(received: string): boolean {
+    return this.accepted.some((secret) => constantTimeEqual(secret, received));
   }
 
-  /** Puts another list in force, for calls on present connections too. */
-  replace(list: readonly string[]): void {
-    this.list = list;
+  /** Replaces the secrets, also for calls on open connections. */
+  replace(secrets: readonly string[]): void {
+    this.accepted = secrets;
   }
 }
--- a/packages/links/src/sessionServer.ts
+++ b/packages/links/src/sessionServer.ts
@@ -2,12 +2,12 @@
 import type { RunFrame, RunRequest, SessionRequest } from '@laburnumstream/protocol';
 
 /**
- * Runs one request. The signal fires with an `Aborted` when the caller has gone, and with a `LinkLost`
- * when the session has ended: then an entry may come back for the answer.
+ * Runs one request. The signal fires with `Aborted` when the request is cancelled, and with `LinkLost`
+ * when the session has ended; an entry may then reconnect to fetch the response.
  */
 export type RunFunction = (request: RunRequest, signal: AbortSignal) => AsyncIterable<RunFrame>;
 
-/** The agent's side of one session: runs its requests side by side. */
+/** The agent's side of a session: runs its requests concurrently. */
 class SessionServer {
   readonly frames = new AsyncQueue<RunFrame>();
 
@@ -18,8 +18,8 @@
   async read(requests: AsyncIterable<SessionRequest>): Promise<void> {
     try {
       for await (const { content } of requests) {
-        if (content.case === 'run') void this.start(content.value);
-        if (content.case === 'cancel') this.cancel(content.value.id, content.value.attempt);
+        if (content.case === 'run') void this.startRun(content.value);
+        if (content.case === 'cancel') this.cancelRun(content.value.id, content.value.attempt);
       }
       this.frames.end();
     } catch (error) {
@@ -27,16 +27,16 @@
     }
   }
 
-  cancelAll(): void {
+  cancelAllRuns(): void {
     const reason = new LinkLost(new OutcomeUnknown('The session has ended.'));
     this.running.forEach((abort) => abort.abort(reason));
   }
 
-  private cancel(id: string, attempt: number): void {
+  private cancelRun(id: string, attempt: number): void {
     this.running.get(`${id}/${attempt}`)?.abort(new Aborted('The caller has gone.'));
   }
 
-  private async start(request: RunRequest): Promise<void> {
+  private async startRun(request: RunRequest): Promise<void> {
     const key = `${request.id}/${request.attempt}`;
     const abort = new AbortController();
     this.running.set(key, abort);
@@ -48,7 +48,7 @@
   }
 }
 
-/** Serves a session: takes requests and yields the frames of all of them. */
+/** Serves a session: runs its requests and yields the frames of all of them. */
 export async function* serveSession(
   requests: AsyncIterable<SessionRequest>,
   run: RunFunction,
@@ -62,6 +62,6 @@
     yield* server.frames;
   } finally {
     signal.removeEventListener('abort', end);
-    server.cancelAll();
+    server.cancelAllRuns();
   }
 }
