--- a/packages/links/src/transport.ts
+++ b/packages/links/src/transport.ts
@@ -1,6 +1,6 @@
 import type { Interceptor, Transport } from '@connectrpc/connect';
 import { createConnectTransport } from '@connectrpc/connect-node';
-import { GuardedSessionManager } from './guardedSessions.js';
+import { GuardedSessionManager } from './guardedSessionManager.js';
 import type { Secrets } from './secrets.js';
 
 /** Time between pings on a connection in use, in milliseconds. */
--- a/packages/sidecar/src/reporter.ts
+++ b/packages/sidecar/src/engineReporter.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@laburnumstream/common';
 import type { FleetDatagrams } from '@laburnumstream/links';
-import type { EngineMonitor } from './engineWatch.js';
+import type { EngineMonitor } from './engineMonitor.js';
 
 /** An entry that receives reports. */
 interface Subscriber {
--- a/packages/sidecar/src/index.ts
+++ b/packages/sidecar/src/index.ts
@@ -1,5 +1,5 @@
 /** Agent beside an engine on a platform with a store: reports load and transfers weights. */
-export * from './engineWatch.js';
+export * from './engineMonitor.js';
 export * from './localEngine.js';
 export * from './peerClient.js';
 export * from './sidecar.js';
--- a/packages/sidecar/src/pieceGossip.ts
+++ b/packages/sidecar/src/pieceGossip.ts
@@ -4,7 +4,7 @@
 import type { FleetView } from './fleetView.js';
 import type { Uplink } from './uplink.js';
 import type { VersionFetch } from './versionFetch.js';
-import type { VersionCache } from './versionShelf.js';
+import type { VersionCache } from './versionCache.js';
 
 /** Time between two rounds of messages during a transfer, in milliseconds. */
 const gossipIntervalMs = 100;
--- a/packages/sidecar/src/pieceServer.ts
+++ b/packages/sidecar/src/pieceServer.ts
@@ -3,7 +3,7 @@
 import { once } from 'node:events';
 import type { Log, Metrics } from '@laburnumstream/common';
 import type { Uplink } from './uplink.js';
-import type { VersionCache } from './versionShelf.js';
+import type { VersionCache } from './versionCache.js';
 
 /** HTTP statuses with which agents respond to each other. */
 export const PieceStatus = { ok: 200, notHeld: 404, busy: 503 } as const;
--- a/packages/sidecar/src/sidecar.ts
+++ b/packages/sidecar/src/sidecar.ts
@@ -1,17 +1,17 @@
 import type { Chart, Clock, Log, Metrics, Random, SidecarSettings } from '@laburnumstream/common';
 import { FleetDatagrams } from '@laburnumstream/links';
 import { Notifier } from '@laburnumstream/runtime';
-import { EngineMonitor } from './engineWatch.js';
+import { EngineMonitor } from './engineMonitor.js';
 import { FleetView } from './fleetView.js';
 import type { LocalEngine, PieceOrigin } from './localEngine.js';
 import { PeerClient } from './peerClient.js';
 import { PieceGossip } from './pieceGossip.js';
 import { PieceServer } from './pieceServer.js';
-import { EngineReporter } from './reporter.js';
+import { EngineReporter } from './engineReporter.js';
 import { sidecarGauges } from './sidecarGauges.js';
 import { Uplink } from './uplink.js';
-import { VersionCache } from './versionShelf.js';
-import { WeightUpdater } from './weightKeeper.js';
+import { VersionCache } from './versionCache.js';
+import { WeightUpdater } from './weightUpdater.js';
 
 /** Dependencies of a sidecar. */
 export interface SidecarDependencies {
--- a/packages/sidecar/src/sidecarGauges.ts
+++ b/packages/sidecar/src/sidecarGauges.ts
@@ -1,8 +1,8 @@
 import type { Gauge } from '@laburnumstream/common';
-import type { EngineMonitor } from './engineWatch.js';
+import type { EngineMonitor } from './engineMonitor.js';
 import type { FleetView } from './fleetView.js';
-import type { VersionCache } from './versionShelf.js';
-import type { WeightUpdater } from './weightKeeper.js';
+import type { VersionCache } from './versionCache.js';
+import type { WeightUpdater } from './weightUpdater.js';
 
 /** Gauges of the local engine and its weights. */
 export function sidecarGauges(
--- a/packages/sidecar/src/weightKeeper.ts
+++ b/packages/sidecar/src/weightUpdater.ts
@@ -4,15 +4,15 @@
 import { Lifecycle } from '@laburnumstream/runtime';
 import type { Notifier } from '@laburnumstream/runtime';
 import { EngineStaging } from './engineStaging.js';
-import type { EngineMonitor } from './engineWatch.js';
+import type { EngineMonitor } from './engineMonitor.js';
 import type { FleetView } from './fleetView.js';
 import type { HeldVersion } from './heldVersion.js';
 import type { LocalEngine } from './localEngine.js';
 import type { PieceGossip } from './pieceGossip.js';
-import type { WeightState } from './reporter.js';
+import type { WeightState } from './engineReporter.js';
 import { VersionFetch, fetchManifest } from './versionFetch.js';
 import type { FetchDependencies } from './versionFetch.js';
-import type { VersionCache } from './versionShelf.js';
+import type { VersionCache } from './versionCache.js';
 
 /** Maximum number of concurrent fetches while the engine serves requests and while it does not. */
 const fetchWindows = { serving: 4, idle: 6 } as const;
