--- a/packages/links/src/fleetDatagrams.ts
+++ b/packages/links/src/fleetDatagrams.ts
@@ -47,8 +47,8 @@
 const senderTimeoutMs = 3_000;
 
 /**
- * Sends and receives datagrams between the system's own processes. Drops datagrams that arrive after a
- * later one of the same sender.
+ * Sends and receives datagrams between the system's own processes. Drops duplicates and datagrams that
+ * arrive after a later one of the same sender.
  */
 export class FleetDatagrams {
   private readonly socket: Socket = createSocket('udp4');
