--- /dev/null
+++ b/packages/sidecar/src/engineMonitor.ts
@@ -0,0 +1,65 @@
+import { timeLimit, toFailure } from '@laburnumstream/common';
+import type { Clock, Log, Metrics } from '@laburnumstream/common';
+import type { EngineState, LocalEngine } from './localEngine.js';
+
+/** Time between two polls, in milliseconds. */
+const pollIntervalMs = 150;
+/** Timeout of one poll, in milliseconds. */
+const pollTimeoutMs = 400;
+/** Consecutive failed polls after which the engine counts as not answering. */
+const maxFailedPolls = 2;
+
+/** Polls the state of the local engine. */
+export class EngineMonitor {
+  private lastState: EngineState | undefined;
+
+  private failedPolls = 0;
+
+  constructor(
+    private readonly engine: LocalEngine,
+    private readonly clock: Clock,
+    private readonly metrics: Metrics,
+    private readonly log: Log,
+    /** Called after each regular poll, whether it succeeded or not. */
+    private readonly onPolled: () => void,
+  ) {}
+
+  /** State from the last successful poll; undefined before the first one. */
+  get state(): EngineState | undefined {
+    return this.lastState;
+  }
+
+  get isAnswering(): boolean {
+    return this.lastState !== undefined && this.failedPolls < maxFailedPolls;
+  }
+
+  /** Polls until the signal fires. */
+  async run(signal: AbortSignal): Promise<void> {
+    while (!signal.aborted) {
+      await this.poll(signal);
+      this.onPolled();
+      await this.clock.sleep(pollIntervalMs, signal).catch(() => undefined);
+    }
+  }
+
+  /** Polls once, independently of the regular interval. */
+  async poll(signal: AbortSignal): Promise<void> {
+    try {
+      const pollSignal = timeLimit(pollTimeoutMs, signal);
+      const state = await this.engine.getState(pollSignal);
+      if (this.lastState && state.bornAt !== this.lastState.bornAt) {
+        this.log.info('The engine has restarted.', { bornAt: state.bornAt });
+      }
+      if (this.failedPolls >= maxFailedPolls) this.log.info('The engine responds again.');
+      this.failedPolls = 0;
+      this.lastState = state;
+    } catch (error) {
+      this.failedPolls += 1;
+      this.metrics.count('engine_questions_failed');
+      if (this.failedPolls === maxFailedPolls) {
+        const { type, message } = toFailure(error);
+        this.log.warn('The engine does not respond.', { type, reason: message });
+      }
+    }
+  }
+}
