--- a/bench/src/heavyDays/heavyDay.ts
+++ b/bench/src/heavyDays/heavyDay.ts
@@ -169,7 +169,7 @@
         const isNear = regionOf(engine, regions) === regionOf(entry, regions);
         const near = Math.ceil((count - regionOf(engine, regions)) / regions);
         const sharers = { near, far: count - near, isNear };
-        handle.takeLoad(this.engines[engine]!.load, sharers, this.random, now);
+        handle.applyLoadReport(this.engines[engine]!.load, sharers, this.random, now);
       }),
     );
   }
--- a/bench/src/heavyDays/ways.ts
+++ b/bench/src/heavyDays/ways.ts
@@ -1,7 +1,7 @@
 import { Failure, Unavailable } from '@laburnumstream/common';
 import type { Clock, Endpoint, Log, Metrics, Random, ServiceProfile } from '@laburnumstream/common';
-import { DispatchLine, EndpointHandle, roomLimits } from '@laburnumstream/forwarding';
-import type { EndpointChoice } from '@laburnumstream/forwarding';
+import { DispatchQueue, EndpointHandle, engineQueueLimits } from '@laburnumstream/forwarding';
+import type { EndpointSource } from '@laburnumstream/forwarding';
 import type { HeavyRequest } from './heavyLoad.js';
 
 /** What one entry decides: to which engine a request goes. */
@@ -81,13 +81,13 @@
     return new EndpointHandle(endpoint, profile, isNear, '', clock, uncounted, peers, 0);
   });
   const hasRoom = (handle: EndpointHandle): boolean =>
-    handle.load.hasRoom({ ...roomLimits, slots: handle.slots }, clock.now());
-  const choice: EndpointChoice = {
-    of: () => handles,
-    usable: () => handles.filter(hasRoom),
+    handle.load.hasRoom({ ...engineQueueLimits, slots: handle.slots }, clock.now());
+  const choice: EndpointSource = {
+    forService: () => handles,
+    available: () => handles.filter(hasRoom),
     canServe: () => true,
   };
-  const line = new DispatchLine(choice, clock, random, uncounted, quiet);
+  const line = new DispatchQueue(choice, clock, random, uncounted, quiet);
   const model = handles[0]!.model!;
   return {
     handles,
@@ -102,11 +102,11 @@
           workspace,
           priority: 1,
           isReturned,
-          isRepeatable: true,
+          isRetryable: true,
           arrivedAt: clock.now(),
           startBy: model.latestStart(goalAt, promptTokens),
           demand: { promptTokens, answerTokens },
-          groups: [kind.name, model.sizeClass(promptTokens, answerTokens)],
+          fairnessGroups: [kind.name, model.sizeClass(promptTokens, answerTokens)],
           eligibility: { homeRegions: [], tried: new Set<string>() },
           goalAt,
           deadlineAt: arrivesAt + timeoutMs,
@@ -118,7 +118,7 @@
       wasRead: (engine, { promptTokens }) => handles[engine]!.load.read(model.readMs(promptTokens)),
       ended: (engine) => {
         handles[engine]!.load.end();
-        line.look(service);
+        line.dispatch(service);
       },
     },
   };
--- a/bench/src/mutations/soakMutations.ts
+++ b/bench/src/mutations/soakMutations.ts
@@ -44,7 +44,7 @@
   {
     name: 'age of the proof of keys',
     file: 'packages/forwarding/dist/callerServer.js',
-    find: 'if (!this.checks.mayHonour())',
+    find: 'if (!this.freshness.mayAcceptKeys())',
     replace: 'if (false)',
     test,
     soak: soak('keysChangeUnheard'),
@@ -69,7 +69,7 @@
     name: 'broken streams',
     file: 'packages/forwarding/dist/eventRelay.js',
     find: "this.settle({ kind: 'fault', fault, reason });",
-    replace: 'this.ended();',
+    replace: 'this.onEnd();',
     test,
     soak: soak('engineMisbehaves'),
   },
--- a/features/steps/answerReview.steps.ts
+++ b/features/steps/answerReview.steps.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import type { CallOutcome, ForwardingEntry } from '@laburnumstream/forwarding';
-import { AnswerCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
+import { ResponseCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
 import { platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { eventually } from '../support/assertions.js';
@@ -98,7 +98,7 @@
 
 Then('the next request is not taken for refused', function own(this: ReviewWorld) {
   const { outcome } = this;
-  const wasRefused = outcome?.kind === 'answer' && outcome.answer.head.wasNotRun;
+  const wasRefused = outcome?.kind === 'answer' && outcome.response.head.wasNotRun;
   assert.equal(wasRefused, false, JSON.stringify(outcome));
 });
 
@@ -114,7 +114,7 @@
         request,
         Infinity,
         platformHeaders,
-        new AnswerCollector(),
+        new ResponseCollector(),
       );
       given.start();
       given.abort();
@@ -142,7 +142,7 @@
 Then('that request has its own answer', function answered(this: ReviewWorld) {
   const { outcome } = this;
   assert.equal(outcome?.kind, 'answer', JSON.stringify(outcome));
-  if (outcome?.kind === 'answer') assert.equal(outcome.answer.body.toString(), 'done');
+  if (outcome?.kind === 'answer') assert.equal(outcome.response.body.toString(), 'done');
 });
 
 When(
@@ -153,7 +153,7 @@
       socket.end(answerTo('r1').slice(0, -1));
     });
     this.connections = poolOf(this.reviewed);
-    const collector = new AnswerCollector();
+    const collector = new ResponseCollector();
     const request = { method: 'POST', path: '/', id: 'r1', headers: [], body: longBody };
     const call = new EndpointCall(this.connections, request, Infinity, platformHeaders, collector);
     call.start();
--- a/features/steps/forwarding.steps.ts
+++ b/features/steps/forwarding.steps.ts
@@ -46,7 +46,7 @@
   const seen = this.outcome.kind === 'answer' ? 'whole' : this.outcome.fault;
   assert.equal(seen, end, JSON.stringify(this.outcome));
   if (this.outcome.kind === 'answer') {
-    assert.equal(this.outcome.answer.body.toString(), wholeBody);
+    assert.equal(this.outcome.response.body.toString(), wholeBody);
   }
 });
 
--- a/features/steps/growth.steps.ts
+++ b/features/steps/growth.steps.ts
@@ -10,12 +10,12 @@
   PeerLoads,
   bestPlacement,
 } from '@laburnumstream/decisions';
-import { DispatchLine, FleetFeed, FleetState } from '@laburnumstream/forwarding';
+import { DispatchQueue, FleetWatcher, FleetState } from '@laburnumstream/forwarding';
 import type {
-  EndpointChoice,
+  EndpointSource,
   EndpointHandle,
   FleetCodec,
-  PlacedRequest,
+  PlacementRequest,
 } from '@laburnumstream/forwarding';
 import { FleetDatagrams } from '@laburnumstream/links';
 import { SystemClock } from '@laburnumstream/runtime';
@@ -65,10 +65,10 @@
       const { directory, regions } = new GrownFleet(entries, 40);
       const random = new SeededRandom(2);
       [...directory.all].forEach((handle) =>
-        handle.takeLoad(idle, directory.sharers(handle.region), random, 0),
+        handle.applyLoadReport(idle, directory.getCapacitySharers(handle.region), random, 0),
       );
       regions.lookups = 0;
-      bestPlacement(directory.usable(grownService, anywhere), demand, 0, random);
+      bestPlacement(directory.available(grownService, anywhere), demand, 0, random);
       return regions.lookups;
     });
   },
@@ -136,18 +136,18 @@
   );
 });
 
-function requestOf(id: string): PlacedRequest {
+function requestOf(id: string): PlacementRequest {
   return {
     id,
     service: grownService,
     workspace: 'w',
     priority: 1,
     isReturned: false,
-    isRepeatable: true,
+    isRetryable: true,
     arrivedAt: 0,
     startBy: 5_000,
     demand,
-    groups: ['r'],
+    fairnessGroups: ['r'],
     eligibility: anywhere,
     goalAt: 6_000,
     deadlineAt: 7_000,
@@ -159,10 +159,10 @@
   handles: readonly EndpointHandle[],
   hasRoom: (handle: EndpointHandle) => boolean,
   asked: number[],
-): EndpointChoice {
+): EndpointSource {
   return {
-    of: () => handles,
-    usable: (_service, _eligibility, among = handles) => {
+    forService: () => handles,
+    available: (_service, _eligibility, among = handles) => {
       asked.push(among.length);
       return among.filter(hasRoom);
     },
@@ -174,7 +174,7 @@
   this.asked = [];
   const { directory, clock } = new GrownFleet(7, many);
   const choice = notingChoice([...directory.all], () => false, this.asked);
-  const line = new DispatchLine(choice, clock, new SeededRandom(3), noMetrics, quietLog);
+  const line = new DispatchQueue(choice, clock, new SeededRandom(3), noMetrics, quietLog);
   const late = { ...requestOf('late'), startBy: -1 };
   await assert.rejects(line.place(late, new AbortController().signal), Unavailable);
 });
@@ -191,7 +191,7 @@
     const open = new Set<EndpointHandle>();
     const handles = [...directory.all];
     const choice = notingChoice(handles, (handle) => open.has(handle), this.asked);
-    const line = new DispatchLine(choice, clock, new SeededRandom(3), noMetrics, quietLog);
+    const line = new DispatchQueue(choice, clock, new SeededRandom(3), noMetrics, quietLog);
     for (let index = 0; index < 20; index += 1) {
       void line.place(requestOf(`r${index}`), new AbortController().signal).then(({ target }) => {
         this.placed.push(target.id);
@@ -201,7 +201,7 @@
     const free = handles[500]!;
     open.add(free);
     this.asked.length = 0;
-    line.look(grownService, free);
+    line.dispatch(grownService, free);
     await Promise.resolve();
   },
 );
@@ -225,7 +225,7 @@
     const left = [...directory.all][5]!;
     state.removeEndpoint(left.id);
     directory.refresh();
-    this.placed = directory.usable(grownService, anywhere, [left]).map(({ id }) => id);
+    this.placed = directory.available(grownService, anywhere, [left]).map(({ id }) => id);
   },
 );
 
@@ -261,10 +261,20 @@
   { store, codec }: { store: StoreFeed; codec: FleetCodec },
   state: FleetState,
   clock: VirtualClock,
-): FleetFeed {
+): FleetWatcher {
   const proof = new ConfigurationProof(4_600, 2_500);
   const proofClock = new SleepAwareClock(clock);
-  return new FleetFeed(store, codec, state, proof, proofClock, clock, noMetrics, quietLog, 8_000);
+  return new FleetWatcher(
+    store,
+    codec,
+    state,
+    proof,
+    proofClock,
+    clock,
+    noMetrics,
+    quietLog,
+    8_000,
+  );
 }
 
 When('an entry reads a list with 700 endpoints', async function read(this: GrowthWorld) {
@@ -343,7 +353,7 @@
   const place = { host: '10.0.0.0', dataCentre: 'a' };
   const registering: FleetCodec = {
     ...codec,
-    decode: ({ key }) => ({ kind: 'entry', name: `front-${key}`, place }),
+    decode: ({ key }) => ({ kind: 'entry', name: `front-${key}`, location: place }),
   };
   void feedOf({ store: changing, codec: registering }, state, clock).run(abort.signal);
   await clock.runUntil(10_000);
--- a/features/steps/misleadingEndpoints.steps.ts
+++ b/features/steps/misleadingEndpoints.steps.ts
@@ -95,14 +95,14 @@
 
 /** Registers an endpoint with another start; returns whether it may be used. */
 function restart({ state, directory }: GrownFleet, index: number, bornAt: number): boolean {
-  state.takeEndpoint({ ...grownEndpoint(index), bornAt });
+  state.setEndpoint({ ...grownEndpoint(index), bornAt });
   directory.refresh();
   return isUsable(directory, index);
 }
 
 function isUsable(directory: GrownFleet['directory'], index: number): boolean {
   const { id } = grownEndpoint(index);
-  return directory.usable(grownService, anywhere).some((handle) => handle.id === id);
+  return directory.available(grownService, anywhere).some((handle) => handle.id === id);
 }
 
 When(
--- a/features/steps/platformPrograms.steps.ts
+++ b/features/steps/platformPrograms.steps.ts
@@ -5,7 +5,7 @@
 import type { SettingsLines } from '@laburnumstream/bench';
 import { SleepAwareClock } from '@laburnumstream/common';
 import { ConfigurationProof } from '@laburnumstream/decisions';
-import { FleetFeed, FleetState } from '@laburnumstream/forwarding';
+import { FleetWatcher, FleetState } from '@laburnumstream/forwarding';
 import { FleetDatagrams } from '@laburnumstream/links';
 import { StoreClient, fleetKeys } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
@@ -108,7 +108,7 @@
   Object.assign(world, { feedAbort: new AbortController() });
   const metrics = new HistogramMetrics();
   Object.assign(world, { feedState: new FleetState(metrics, quiet, () => undefined) });
-  const feed = new FleetFeed(
+  const feed = new FleetWatcher(
     new StoreClient(world.programStore.address),
     fleetKeys,
     world.feedState,
--- a/features/steps/wholeAnswers.steps.ts
+++ b/features/steps/wholeAnswers.steps.ts
@@ -2,7 +2,7 @@
 import { After, Then, When } from '@cucumber/cucumber';
 import { OperatorClient } from '@laburnumstream/cli';
 import type { CallOutcome } from '@laburnumstream/forwarding';
-import { AnswerCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
+import { ResponseCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
 import { platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { answerReaders, callEndpoint, secondOutcome } from '../support/answerReaders.js';
@@ -91,7 +91,7 @@
 
 Then(/^it has a whole answer with status (\d+)$/, function has(this: AnswersWorld, status: string) {
   assert.equal(this.outcome.kind, 'answer', JSON.stringify(this.outcome));
-  if (this.outcome.kind === 'answer') assert.equal(this.outcome.answer.status, Number(status));
+  if (this.outcome.kind === 'answer') assert.equal(this.outcome.response.status, Number(status));
 });
 
 When(
@@ -123,7 +123,7 @@
 
 Then('that request has a refusal', function refused(this: AnswersWorld) {
   assert.equal(this.outcome.kind, 'answer', JSON.stringify(this.outcome));
-  if (this.outcome.kind === 'answer') assert.ok(this.outcome.answer.head.wasNotRun);
+  if (this.outcome.kind === 'answer') assert.ok(this.outcome.response.head.wasNotRun);
 });
 
 When(
@@ -137,17 +137,17 @@
       new SystemClock(),
       new HistogramMetrics(),
     );
-    const collector = new AnswerCollector();
+    const collector = new ResponseCollector();
     const request = { method: 'GET', path: '/', id: 'r1', headers: [], body: Buffer.alloc(0) };
     const call = new EndpointCall(pool, request, Infinity, platformHeaders, {
-      began: (...answer) => collector.began(...answer),
-      data: (bytes) => {
-        collector.data(bytes);
+      onHead: (...answer) => collector.onHead(...answer),
+      onData: (bytes) => {
+        collector.onData(bytes);
         call.pause();
         setTimeout(() => call.resume(), pausedMs);
       },
-      ended: () => collector.ended(),
-      failed: (...fault) => collector.failed(...fault),
+      onEnd: () => collector.onEnd(),
+      onFailure: (...fault) => collector.onFailure(...fault),
     });
     call.start();
     this.outcome = await collector.outcome;
@@ -161,7 +161,7 @@
     const { outcome } = this;
     const end = outcome.kind === 'answer' ? 'whole' : outcome.fault;
     assert.equal(end, expected, JSON.stringify(outcome));
-    if (outcome.kind === 'answer') assert.equal(outcome.answer.body.toString(), wholeBody);
+    if (outcome.kind === 'answer') assert.equal(outcome.response.body.toString(), wholeBody);
   },
 );
 
--- a/features/support/answerReaders.ts
+++ b/features/support/answerReaders.ts
@@ -1,4 +1,4 @@
-import { AnswerCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
+import { ResponseCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
 import { HttpClient, HttpPlainService, HttpWeightOrigin } from '@laburnumstream/clients';
 import { EngineClient, OriginClient, StoreClient, platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
@@ -13,7 +13,7 @@
 
 /** Sends one request through an entry's connections to an endpoint. */
 export function callThrough(pool: ConnectionPool, id: string, method = 'GET') {
-  const collector = new AnswerCollector();
+  const collector = new ResponseCollector();
   const request = { method, path: '/', id, headers: [], body: Buffer.alloc(0) };
   new EndpointCall(pool, request, Infinity, platformHeaders, collector).start();
   return collector.outcome;
@@ -40,7 +40,7 @@
 export const answerReaders: Readonly<Record<string, AnswerReader>> = {
   'an entry': async (address) => {
     const outcome = await callEndpoint(address);
-    if (outcome.kind === 'answer') return outcome.answer.body.toString();
+    if (outcome.kind === 'answer') return outcome.response.body.toString();
     throw new TypeError(outcome.fault);
   },
   'the client of plain services': async (address) => {
--- a/features/support/feedHistory.ts
+++ b/features/support/feedHistory.ts
@@ -1,7 +1,7 @@
 import { HistoryLost, SleepAwareClock, StoreUnavailable } from '@laburnumstream/common';
 import type { StoreChange, StoreChanges, StoreSnapshot } from '@laburnumstream/common';
 import { ConfigurationProof } from '@laburnumstream/decisions';
-import { FleetFeed, FleetState } from '@laburnumstream/forwarding';
+import { FleetWatcher, FleetState } from '@laburnumstream/forwarding';
 import type { FleetChange } from '@laburnumstream/forwarding';
 import { HistogramMetrics } from '@laburnumstream/runtime';
 import { VirtualClock } from '@laburnumstream/standins';
@@ -148,7 +148,7 @@
   const codec = { prefix, entryKey: () => '', encodeEntry: () => '', decode };
   const store = new HistoryStore(history, clock, instance);
   const { versionMs } = platformBounds;
-  const feed = new FleetFeed(
+  const feed = new FleetWatcher(
     store,
     codec,
     state,
--- a/features/support/grownFleet.ts
+++ b/features/support/grownFleet.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '@laburnumstream/common';
 import type { Endpoint, ForwarderSettings, Log, Metrics } from '@laburnumstream/common';
-import { EndpointDirectory, FleetState, SharingEntries } from '@laburnumstream/forwarding';
+import { EndpointDirectory, FleetState, EntryCounts } from '@laburnumstream/forwarding';
 import type { Eligibility } from '@laburnumstream/forwarding';
 import { VirtualClock } from '@laburnumstream/standins';
 import { CountedRegions } from './countedRegions.js';
@@ -81,13 +81,13 @@
     this.state = new FleetState(noMetrics, quietLog, () => undefined);
     for (let index = 0; index < entries; index += 1) {
       const host = `10.0.${Math.floor(index / 250)}.${index % 250}`;
-      this.state.takeEntry(`front-${index}`, { host, dataCentre: dataCentreOf(index) });
+      this.state.setEntry(`front-${index}`, { host, dataCentre: dataCentreOf(index) });
     }
     for (let index = 0; index < endpoints; index += 1) {
-      this.state.takeEndpoint(grownEndpoint(index));
+      this.state.setEndpoint(grownEndpoint(index));
     }
     const random = new SeededRandom(1);
-    const sharing = new SharingEntries(this.state, settings, this.clock);
+    const sharing = new EntryCounts(this.state, settings, this.clock);
     this.directory = new EndpointDirectory(
       settings,
       this.state,
--- a/packages/forwarding/src/answerCollector.ts
+++ b/packages/forwarding/src/answerCollector.ts
@@ -1,28 +1,28 @@
 import type { CallFault, CallObserver } from './endpointCall.js';
-import type { AnswerHead } from './heads.js';
+import type { ResponseHead } from './heads.js';
 
 /** An endpoint's answer with its whole body. */
-export interface WholeAnswer {
+export interface BufferedResponse {
   readonly status: number;
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   readonly rawHeaders: readonly string[];
   readonly body: Buffer;
 }
 
 /** How an attempt ended: with an answer, or with a fault. */
 export type CallOutcome =
-  | { readonly kind: 'answer'; readonly answer: WholeAnswer }
+  | { readonly kind: 'answer'; readonly response: BufferedResponse }
   | { readonly kind: 'fault'; readonly fault: CallFault; readonly reason: string };
 
 /** Collects the answer of one call. */
-export class AnswerCollector implements CallObserver {
+export class ResponseCollector implements CallObserver {
   readonly outcome: Promise<CallOutcome>;
 
   private settle: (outcome: CallOutcome) => void = () => undefined;
 
-  private readonly parts: Buffer[] = [];
+  private readonly chunks: Buffer[] = [];
 
-  private begin: Omit<WholeAnswer, 'body'> | undefined;
+  private start: Omit<BufferedResponse, 'body'> | undefined;
 
   constructor() {
     this.outcome = new Promise((resolve) => {
@@ -30,20 +30,20 @@
     });
   }
 
-  began(status: number, head: AnswerHead, rawHeaders: readonly string[]): void {
-    this.begin = { status, head, rawHeaders };
+  onHead(status: number, head: ResponseHead, rawHeaders: readonly string[]): void {
+    this.start = { status, head, rawHeaders };
   }
 
-  data(bytes: Buffer): void {
-    this.parts.push(bytes);
+  onData(bytes: Buffer): void {
+    this.chunks.push(bytes);
   }
 
-  ended(): void {
-    const answer = { ...this.begin!, body: Buffer.concat(this.parts) };
-    this.settle({ kind: 'answer', answer });
+  onEnd(): void {
+    const answer = { ...this.start!, body: Buffer.concat(this.chunks) };
+    this.settle({ kind: 'answer', response: answer });
   }
 
-  failed(fault: CallFault, reason: string): void {
+  onFailure(fault: CallFault, reason: string): void {
     this.settle({ kind: 'fault', fault, reason });
   }
 }
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -7,9 +7,9 @@
   readonly handle: EndpointHandle;
   readonly call: EndpointCall;
   /** The endpoint has read the prompt. */
-  wasRead(): void;
+  markPromptRead(): void;
   /** The endpoint is done with the request. */
-  ended(): void;
+  markEnded(): void;
 }
 
 /** An attempt that brought no answer to deliver. */
--- a/packages/forwarding/src/callerServer.ts
+++ b/packages/forwarding/src/callerServer.ts
@@ -12,23 +12,23 @@
 } from '@laburnumstream/common';
 import { drawService } from '@laburnumstream/decisions';
 import type { RouteTable } from '@laburnumstream/decisions';
-import { callerLeft, deadlinePassed } from './exchange.js';
+import { callerDisconnected, deadlineExceeded } from './exchange.js';
 import type { Exchange } from './exchange.js';
 import type { FleetState } from './fleetState.js';
 import type { HeaderCodec } from './headerCodec.js';
 import type { RequestHead } from './heads.js';
-import { Refusal, RefusalReason, lateFailure } from './refusal.js';
-import { RequestCounts } from './requestCounts.js';
+import { Refusal, RefusalReason, toDeadlineFailure } from './refusal.js';
+import { RequestCounter } from './requestCounts.js';
 
 /** Forwards requests of one way of repetition. */
-export interface Forwarding {
-  serve(exchange: Exchange): Promise<void>;
+export interface RequestForwarder {
+  forward(exchange: Exchange): Promise<void>;
 }
 
 /** What the age of the configuration in use allows now. */
-export interface ConfigurationChecks {
+export interface ConfigurationFreshness {
   /** Whether its keys may be honoured. */
-  mayHonour(): boolean;
+  mayAcceptKeys(): boolean;
   /** Whether a caller may be told that a route or key is not there. */
   mayDeny(): boolean;
   /** Age of the proof that it is the newest one, in milliseconds. */
@@ -36,10 +36,10 @@
 }
 
 /** Delay after which a caller comes back when this entry can't serve yet, in milliseconds. */
-const returnMs = 700;
+const retryDelayMs = 700;
 /** Idle time beyond the operators' limit after which a caller's connection is closed. */
 const idleSlackMs = 5_000;
-const idleFloorMs = 60_000;
+const minIdleTimeoutMs = 60_000;
 
 async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer> {
   const parts: Buffer[] = [];
@@ -52,7 +52,7 @@
   return parts.length === 1 ? parts[0]! : Buffer.concat(parts);
 }
 
-function pathOf(url: string): string {
+function getPath(url: string): string {
   const query = url.indexOf('?');
   return query < 0 ? url : url.slice(0, query);
 }
@@ -63,24 +63,24 @@
 
   private running = 0;
 
-  private isLeaving = false;
+  private isDraining = false;
 
   /** Whether a connection is closed as soon as it carries no request. */
   private isClosing = false;
 
-  private readonly counts: RequestCounts;
+  private readonly counter: RequestCounter;
 
   constructor(
     private readonly state: FleetState,
-    private readonly checks: ConfigurationChecks,
-    private readonly forwardings: Readonly<Record<Repetition, Forwarding>>,
+    private readonly freshness: ConfigurationFreshness,
+    private readonly forwarders: Readonly<Record<Repetition, RequestForwarder>>,
     private readonly codec: HeaderCodec,
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {
-    this.counts = new RequestCounts(metrics);
+    this.counter = new RequestCounter(metrics);
     this.server = createServer(
       { keepAlive: true, noDelay: true, requestTimeout: 0, connectionsCheckingInterval: 5_000 },
       (request, response) => void this.handle(request, response),
@@ -105,15 +105,15 @@
   applyLimits(): void {
     const limits = this.state.routes?.configuration.limits;
     this.server.keepAliveTimeout = Math.max(
-      idleFloorMs,
+      minIdleTimeoutMs,
       (limits?.idleTimeoutMs ?? 0) + idleSlackMs,
     );
     this.server.headersTimeout = 0;
   }
 
   /** From now on each answer asks the caller to close its connection. */
-  leave(): void {
-    this.isLeaving = true;
+  startDraining(): void {
+    this.isDraining = true;
   }
 
   /** Takes no more connections and closes each one that carries no request, now or later. */
@@ -126,25 +126,25 @@
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     this.running += 1;
     const arrivedAt = this.clock.now();
-    if (this.isLeaving) response.setHeader('connection', 'close');
+    if (this.isDraining) response.setHeader('connection', 'close');
     const head = this.codec.decodeRequestHead(request.headers);
     const owner = new AbortController();
     let route: Route | undefined;
     let timer: NodeJS.Timeout | undefined;
     response.once('close', () => {
-      if (!response.writableFinished) owner.abort(callerLeft);
+      if (!response.writableFinished) owner.abort(callerDisconnected);
     });
     response.once('finish', () => this.isClosing && request.socket.destroySoon());
     try {
       const { routes } = this.state;
       if (!routes) {
         const message = 'No configuration is known yet.';
-        throw new Refusal(RefusalReason.noConfiguration, message, returnMs);
+        throw new Refusal(RefusalReason.noConfiguration, message, retryDelayMs);
       }
       route = this.findRoute(routes, request);
-      const workspace = this.admit(routes, route, head);
+      const workspace = this.authenticate(routes, route, head);
       const waitsMs = Math.min(head.timeLeftMs ?? route.timeoutMs, route.timeoutMs);
-      timer = setTimeout(() => owner.abort(deadlinePassed), waitsMs);
+      timer = setTimeout(() => owner.abort(deadlineExceeded), waitsMs);
       const body = await readBody(request, routes.configuration.limits.maxBodyBytes);
       const service = drawService(route, this.random);
       if (service === undefined) throw new NotFound('The route leads to no service.');
@@ -162,10 +162,10 @@
         deadlineAt,
         signal,
       };
-      await this.forwardings[route.repetition].serve(exchange);
-      this.counts.forwarded(exchange);
+      await this.forwarders[route.repetition].forward(exchange);
+      this.counter.countForwarded(exchange);
     } catch (error) {
-      this.fail(request, response, head, route, owner.signal, error);
+      this.handleFailure(request, response, head, route, owner.signal, error);
     } finally {
       clearTimeout(timer);
       this.running -= 1;
@@ -175,35 +175,35 @@
 
   private findRoute(routes: RouteTable, { headers, url = '/' }: IncomingMessage): Route {
     const { host = '' } = headers;
-    const route = routes.find(host.split(':')[0]!, pathOf(url));
-    if (!route) throw this.denial(new NotFound('No route matches the host and path.'));
+    const route = routes.find(host.split(':')[0]!, getPath(url));
+    if (!route) throw this.toDenial(new NotFound('No route matches the host and path.'));
     return route;
   }
 
   /** The holder of the request's key; undefined where none is needed. */
-  private admit(routes: RouteTable, route: Route, head: RequestHead): Workspace | undefined {
+  private authenticate(routes: RouteTable, route: Route, head: RequestHead): Workspace | undefined {
     if (route.isPublic || !routes.configuration.needsKeys) return undefined;
     // A key that is known here may have been taken away, and an unknown one may have been added.
-    if (!this.checks.mayHonour()) {
-      const ageMs = Math.round(this.checks.ageMs());
+    if (!this.freshness.mayAcceptKeys()) {
+      const ageMs = Math.round(this.freshness.ageMs());
       const message = `The proof of keys is ${ageMs} ms old.`;
-      throw new Refusal(RefusalReason.oldProof, message, returnMs);
+      throw new Refusal(RefusalReason.oldProof, message, retryDelayMs);
     }
     if (head.key === undefined) throw new Unauthenticated('A key is required.');
     const workspace = routes.workspaceOf(head.key);
-    if (!workspace) throw this.denial(new Unauthenticated('The key is not known.'));
+    if (!workspace) throw this.toDenial(new Unauthenticated('The key is not known.'));
     return workspace;
   }
 
   /** The failure for what is not there, unless it may have been added since the last look. */
-  private denial(failure: Failure): Failure {
-    if (this.checks.mayDeny()) return failure;
-    const ageMs = Math.round(this.checks.ageMs());
+  private toDenial(failure: Failure): Failure {
+    if (this.freshness.mayDeny()) return failure;
+    const ageMs = Math.round(this.freshness.ageMs());
     const message = `${failure.message} The configuration is ${ageMs} ms old.`;
-    return new Refusal(RefusalReason.oldConfiguration, message, returnMs);
+    return new Refusal(RefusalReason.oldConfiguration, message, retryDelayMs);
   }
 
-  private fail(
+  private handleFailure(
     request: IncomingMessage,
     response: ServerResponse,
     { id }: RequestHead,
@@ -211,14 +211,15 @@
     signal: AbortSignal,
     error: unknown,
   ): void {
-    if (signal.reason === callerLeft) {
-      this.counts.left(route);
+    if (signal.reason === callerDisconnected) {
+      this.counter.countDisconnected(route);
       this.log.info('Caller left.', { id });
       return;
     }
-    const failure = signal.reason === deadlinePassed ? lateFailure(error) : toFailure(error);
+    const failure =
+      signal.reason === deadlineExceeded ? toDeadlineFailure(error) : toFailure(error);
     const { status, type, execution, retryAfterMs, message } = failure;
-    this.counts.failed(route, failure);
+    this.counter.countFailed(route, failure);
     this.log.info('Request failed.', {
       id,
       status,
@@ -228,7 +229,7 @@
       route: route?.name ?? null,
       isRepeatable: route === undefined || route.repetition !== Repetition.nonIdempotent,
       configuration: this.state.routes?.configuration.version ?? null,
-      proofAgeMs: Math.round(this.checks.ageMs()),
+      proofAgeMs: Math.round(this.freshness.ageMs()),
       retryAfterMs: retryAfterMs === undefined ? null : Math.round(retryAfterMs),
       reason: message,
     });
@@ -236,7 +237,7 @@
       response.destroy();
       return;
     }
-    const headers = retryAfterMs === undefined ? [] : this.codec.encodeReturnTime(retryAfterMs);
+    const headers = retryAfterMs === undefined ? [] : this.codec.encodeRetryAfter(retryAfterMs);
     // The rest of a body that was not read would be taken for the next request.
     if (!request.complete) headers.push('connection', 'close');
     response.writeHead(status, [...headers, 'content-length', '0']);
--- a/packages/forwarding/src/connectionPool.ts
+++ b/packages/forwarding/src/connectionPool.ts
@@ -19,18 +19,18 @@
   }
 
   /** Whether a request can be sent with at most `most` connections. */
-  hasRoom(most: number): boolean {
+  hasCapacity(most: number): boolean {
     return this.idle.length > 0 || this.open.size < most;
   }
 
   /** The connection that was used last, or a new one; idle for at most `longestIdleMs`. */
-  take(longestIdleMs: number): EndpointConnection {
+  acquire(longestIdleMs: number): EndpointConnection {
     const connection = this.idle.pop();
     if (connection && this.clock.now() - connection.idleSince <= longestIdleMs) return connection;
     connection?.destroy();
     const fresh = new EndpointConnection(
       this.address,
-      (ended) => this.forget(ended),
+      (ended) => this.remove(ended),
       () => this.metrics.count('endpoint_connections'),
     );
     this.open.add(fresh);
@@ -38,7 +38,7 @@
   }
 
   /** A request on the connection has ended well. */
-  giveBack(connection: EndpointConnection): void {
+  release(connection: EndpointConnection): void {
     if (!this.open.has(connection)) return;
     Object.assign(connection, { idleSince: this.clock.now() });
     this.idle.push(connection);
@@ -49,7 +49,7 @@
     this.idle.splice(0).forEach((connection) => connection.destroy());
   }
 
-  private forget(connection: EndpointConnection): void {
+  private remove(connection: EndpointConnection): void {
     this.open.delete(connection);
     const index = this.idle.indexOf(connection);
     if (index >= 0) this.idle.splice(index, 1);
--- a/packages/forwarding/src/endpointCall.ts
+++ b/packages/forwarding/src/endpointCall.ts
@@ -4,7 +4,7 @@
 import type { Dispatcher } from 'undici';
 import type { ConnectionPool } from './connectionPool.js';
 import type { EndpointConnection } from './endpointConnection.js';
-import type { AnswerHead } from './heads.js';
+import type { ResponseHead } from './heads.js';
 import type { HeaderCodec } from './headerCodec.js';
 
 /** How a call to an endpoint failed. */
@@ -38,7 +38,7 @@
 export type Framing = (typeof Framing)[keyof typeof Framing];
 
 /** What a call has seen of its answer, for logs. */
-export interface CallEvidence {
+export interface CallStats {
   /** Undefined before the answer has begun. */
   readonly framing: Framing | undefined;
   /** Bytes of the body. */
@@ -49,10 +49,10 @@
 
 /** What a call tells its owner. After `ended` or `failed` it tells nothing more. */
 export interface CallObserver {
-  began(status: number, head: AnswerHead, rawHeaders: readonly string[]): void;
-  data(bytes: Buffer): void;
-  ended(): void;
-  failed(fault: CallFault, reason: string): void;
+  onHead(status: number, head: ResponseHead, rawHeaders: readonly string[]): void;
+  onData(bytes: Buffer): void;
+  onEnd(): void;
+  onFailure(fault: CallFault, reason: string): void;
 }
 
 /** A request as it is sent to an endpoint. */
@@ -66,11 +66,11 @@
 }
 
 const firstFinalStatus = 200;
-const firstErrorStatus = 300;
+const firstRedirectStatus = 300;
 
 const chunkedPattern = /(^|,)\s*chunked\s*$/i;
 
-function framingOf(headers: IncomingHttpHeaders): Framing {
+function getFraming(headers: IncomingHttpHeaders): Framing {
   const coding = headers['transfer-encoding'];
   if (coding !== undefined) {
     return chunkedPattern.test(coding) ? Framing.chunks : Framing.connection;
@@ -78,7 +78,7 @@
   return headers['content-length'] === undefined ? Framing.connection : Framing.length;
 }
 
-function textOf(raw: Dispatcher.DispatchController['rawHeaders']): string[] {
+function decodeRawHeaders(raw: Dispatcher.DispatchController['rawHeaders']): string[] {
   if (!Array.isArray(raw)) return [];
   return raw.map((part) => (typeof part === 'string' ? part : part.toString('latin1')));
 }
@@ -89,14 +89,14 @@
 
   private readonly connection: EndpointConnection;
 
-  private sent = false;
+  private hasBeenSent = false;
 
-  private hasBegun = false;
+  private hasStarted = false;
 
   private hasEnded = false;
 
   /** Whether the answer names its request. */
-  private isNamed = false;
+  private hasRequestId = false;
 
   private framing: Framing | undefined;
 
@@ -109,16 +109,16 @@
     private readonly codec: HeaderCodec,
     private readonly observer: CallObserver,
   ) {
-    this.connection = pool.take(longestIdleMs);
+    this.connection = pool.acquire(longestIdleMs);
   }
 
   /** Whether any byte may have reached the endpoint. */
   get wasSent(): boolean {
-    return this.sent;
+    return this.hasBeenSent;
   }
 
   /** What has been seen of the answer so far. */
-  get evidence(): CallEvidence {
+  get stats(): CallStats {
     const { framing, bytes, connection } = this;
     return { framing, bytes, isReused: connection.isReused };
   }
@@ -157,7 +157,7 @@
       return;
     }
     this.controller = controller;
-    this.sent = true;
+    this.hasBeenSent = true;
   }
 
   onResponseStart(
@@ -168,15 +168,15 @@
     // Interim answers concern only one connection.
     if (this.hasEnded || status < firstFinalStatus) return;
     this.controller = controller;
-    const head = this.codec.decodeAnswerHead(headers);
-    if (!this.isOwn(status, head)) {
+    const head = this.codec.decodeResponseHead(headers);
+    if (!this.isOwnResponse(status, head)) {
       this.fail(CallFault.crossed, `The answer is for ${head.requestId ?? 'no named request'}.`);
       return;
     }
-    this.hasBegun = true;
-    this.isNamed = head.requestId !== undefined;
-    this.framing = framingOf(headers);
-    this.observer.began(status, head, textOf(controller.rawHeaders));
+    this.hasStarted = true;
+    this.hasRequestId = head.requestId !== undefined;
+    this.framing = getFraming(headers);
+    this.observer.onHead(status, head, decodeRawHeaders(controller.rawHeaders));
   }
 
   /**
@@ -184,7 +184,7 @@
    * request, unless this is the connection's first. Refusals need not have one: a late second refusal
    * after an answer with an id can't be told from this request's own.
    */
-  private isOwn(status: number, head: AnswerHead): boolean {
+  private isOwnResponse(status: number, head: ResponseHead): boolean {
     const { requestId } = head;
     if (requestId !== undefined) return requestId === this.request.id;
     const { execution } = judgeAnswer({ status, ...head });
@@ -195,32 +195,32 @@
     // The parser gives an empty chunk when a call resumes.
     if (this.hasEnded || chunk.length === 0) return;
     this.bytes += chunk.length;
-    this.observer.data(chunk);
+    this.observer.onData(chunk);
   }
 
   onResponseEnd(): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
     // A late second answer without an id could not be told from the next request's.
-    if (this.isNamed) this.pool.giveBack(this.connection);
+    if (this.hasRequestId) this.pool.release(this.connection);
     else this.connection.destroy();
-    this.observer.ended();
+    this.observer.onEnd();
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
     if (this.hasEnded) return;
-    if (!this.sent) this.fail(CallFault.connection, error.message);
-    else this.fail(this.hasBegun ? CallFault.truncated : CallFault.broken, error.message);
+    if (!this.hasBeenSent) this.fail(CallFault.connection, error.message);
+    else this.fail(this.hasStarted ? CallFault.truncated : CallFault.broken, error.message);
   }
 
   private fail(fault: CallFault, reason: string): void {
     this.hasEnded = true;
     this.connection.destroy();
-    this.observer.failed(fault, reason);
+    this.observer.onFailure(fault, reason);
   }
 }
 
 /** Whether a status is a success. */
 export function isSuccess(status: number): boolean {
-  return status >= 200 && status < firstErrorStatus;
+  return status >= 200 && status < firstRedirectStatus;
 }
--- a/packages/forwarding/src/endpointConnection.ts
+++ b/packages/forwarding/src/endpointConnection.ts
@@ -6,7 +6,7 @@
 /** Longest time in which a connection is established, in milliseconds. */
 const connectTimeoutMs = 400;
 /** Time for which an idle connection is kept when the endpoint says nothing, in milliseconds. */
-const idleMs = 4_000;
+const defaultIdleTimeoutMs = 4_000;
 /** Part of the endpoint's own idle timeout that is not used, in milliseconds. */
 const idleMarginMs = 1_000;
 
@@ -17,7 +17,7 @@
   private socket: Socket | undefined;
 
   /** Requests that were sent on it. */
-  private requests = 0;
+  private requestCount = 0;
 
   /** Monotonic time since when it has been idle, in milliseconds. */
   idleSince = 0;
@@ -25,14 +25,14 @@
   constructor(
     address: string,
     /** Called at least once when the connection has ended. */
-    private readonly onEnd: (connection: EndpointConnection) => void,
+    private readonly onClose: (connection: EndpointConnection) => void,
     onConnect: () => void,
   ) {
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: idleMs,
+      keepAliveTimeout: defaultIdleTimeoutMs,
       keepAliveTimeoutThreshold: idleMarginMs,
       strictContentLength: true,
       connect: connectorWith(connectTimeoutMs, (socket) => {
@@ -40,31 +40,31 @@
         socket.once('connect', onConnect);
       }),
     });
-    this.client.on('disconnect', () => this.ended());
-    this.client.on('connectionError', () => this.ended());
+    this.client.on('disconnect', () => this.handleClose());
+    this.client.on('connectionError', () => this.handleClose());
   }
 
   /** Whether it has carried a request before, so that the endpoint may have closed it meanwhile. */
   get isReused(): boolean {
-    return this.requests > 1;
+    return this.requestCount > 1;
   }
 
   dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
-    this.requests += 1;
+    this.requestCount += 1;
     this.client.dispatch(options, handler);
   }
 
   /** Ends the connection; a request on it fails, and what of it is still under way is not delivered. */
   destroy(): void {
     // The client tells nothing of a connection that has not been established.
-    this.onEnd(this);
+    this.onClose(this);
     if (this.socket?.connecting) this.socket.destroy();
     else this.socket?.resetAndDestroy();
     this.client.destroy().catch(() => undefined);
   }
 
-  private ended(): void {
-    this.onEnd(this);
+  private handleClose(): void {
+    this.onClose(this);
     this.client.destroy().catch(() => undefined);
   }
 }
--- a/packages/forwarding/src/endpointDirectory.ts
+++ b/packages/forwarding/src/endpointDirectory.ts
@@ -8,11 +8,11 @@
 } from '@laburnumstream/common';
 import { EndpointHealth, mayBeginOn } from '@laburnumstream/decisions';
 import type { RoomSharers } from '@laburnumstream/decisions';
-import type { EndpointChoice } from './dispatchLine.js';
-import { EndpointHandle, roomLimits } from './endpointHandle.js';
+import type { EndpointSource } from './dispatchLine.js';
+import { EndpointHandle, engineQueueLimits } from './endpointHandle.js';
 import { EndpointState } from './endpointState.js';
 import type { FleetState } from './fleetState.js';
-import type { SharingEntries } from './sharingEntries.js';
+import type { EntryCounts } from './sharingEntries.js';
 
 /** What a request needs of an endpoint besides room. */
 export interface Eligibility {
@@ -25,7 +25,7 @@
 const connectionShare = 0.9;
 
 /** The endpoints that this entry may use, by service. */
-export class EndpointDirectory implements EndpointChoice {
+export class EndpointDirectory implements EndpointSource {
   private readonly handles = new Map<string, EndpointHandle>();
 
   private readonly byService = new Map<string, EndpointHandle[]>();
@@ -33,7 +33,7 @@
   private readonly byAddress = new Map<string, EndpointHandle>();
 
   /** How endpoints behaved that are gone, by their ids: some come back and fall again. */
-  private readonly past = new Map<string, EndpointHealth>();
+  private readonly formerHealth = new Map<string, EndpointHealth>();
 
   constructor(
     private readonly settings: FleetSettings,
@@ -42,7 +42,7 @@
     private readonly metrics: Metrics,
     private readonly random: Random,
     /** Entries that share the bounds of endpoints. */
-    private readonly sharing: SharingEntries,
+    private readonly entryCounts: EntryCounts,
   ) {}
 
   get all(): Iterable<EndpointHandle> {
@@ -54,7 +54,7 @@
   }
 
   /** The endpoint at an IP:PORT address. */
-  at(address: string): EndpointHandle | undefined {
+  findByAddress(address: string): EndpointHandle | undefined {
     return this.byAddress.get(address);
   }
 
@@ -71,10 +71,10 @@
         return;
       handle.pool.closeIdle();
       this.handles.delete(id);
-      this.past.set(id, handle.health);
+      this.formerHealth.set(id, handle.health);
     });
-    endpoints.forEach((endpoint) => this.take(endpoint, services?.get(endpoint.service)));
-    this.forgetPast();
+    endpoints.forEach((endpoint) => this.addOrUpdate(endpoint, services?.get(endpoint.service)));
+    this.pruneFormerHealth();
     this.byService.clear();
     this.byAddress.clear();
     this.handles.forEach((handle) => {
@@ -86,38 +86,38 @@
   }
 
   /** Endpoints of a service. */
-  of(service: string): readonly EndpointHandle[] {
+  forService(service: string): readonly EndpointHandle[] {
     return this.byService.get(service) ?? [];
   }
 
   /** Endpoints, by default all of a service, that may get a request now. */
-  usable(
+  available(
     service: string,
     eligibility: Eligibility,
-    among: readonly EndpointHandle[] = this.of(service),
+    among: readonly EndpointHandle[] = this.forService(service),
   ): EndpointHandle[] {
     const now = this.clock.now();
     return among.filter(
       (handle) =>
-        this.isKnown(handle) &&
-        this.mayServe(handle, eligibility, now) &&
-        this.hasRoom(handle, now),
+        this.isRegistered(handle) &&
+        this.isEligible(handle, eligibility, now) &&
+        this.hasCapacity(handle, now),
     );
   }
 
   /** Whether an endpoint has not left; its last requests may still run. */
-  private isKnown(handle: EndpointHandle): boolean {
+  private isRegistered(handle: EndpointHandle): boolean {
     return this.handles.get(handle.id) === handle;
   }
 
   /** Whether any endpoint of a service could serve a request, if it had room. */
   canServe(service: string, eligibility: Eligibility): boolean {
     const now = this.clock.now();
-    return this.of(service).some((handle) => this.mayServe(handle, eligibility, now));
+    return this.forService(service).some((handle) => this.isEligible(handle, eligibility, now));
   }
 
   /** Why an endpoint gets no request now, or that it may get one. */
-  stateOf(handle: EndpointHandle): EndpointState {
+  getState(handle: EndpointHandle): EndpointState {
     const now = this.clock.now();
     const { endpoint } = handle;
     if (endpoint.isDraining) return EndpointState.draining;
@@ -125,39 +125,40 @@
     if (!handle.isAnswering) return EndpointState.silent;
     if (handle.isSwitching) return EndpointState.switching;
     if (handle.model && handle.version === undefined) return EndpointState.empty;
-    if (!this.hasWeights(handle, now)) return EndpointState.outdated;
-    if (!EndpointDirectory.isSound(handle, now)) return EndpointState.resting;
-    return this.hasRoom(handle, now) ? EndpointState.free : EndpointState.full;
+    if (!this.hasUsableWeights(handle, now)) return EndpointState.outdated;
+    if (!EndpointDirectory.isHealthy(handle, now)) return EndpointState.resting;
+    return this.hasCapacity(handle, now) ? EndpointState.free : EndpointState.full;
   }
 
   /** A request is about to be sent. */
-  countSend(handle: EndpointHandle): void {
+  recordSend(handle: EndpointHandle): void {
     const now = this.clock.now();
-    if (now < handle.coldUntil) handle.coldRate.take(this.coldShare(handle), now);
+    if (now < handle.coldUntil) handle.coldRate.take(this.getColdRateShare(handle), now);
   }
 
   /** Entries that share the room of the endpoints of a region. */
-  sharers(region: string): RoomSharers {
+  getCapacitySharers(region: string): RoomSharers {
     const { regions, region: own } = this.settings;
     const isThere = (dataCentre: string): boolean => regions.get(dataCentre) === region;
     const isNear = region === own;
-    const near = Math.max(isNear ? 1 : 0, this.state.entriesIn(isThere));
-    const far = Math.max(isNear ? 0 : 1, this.state.entries - near);
+    const near = Math.max(isNear ? 1 : 0, this.state.countEntries(isThere));
+    const far = Math.max(isNear ? 0 : 1, this.state.entryCount - near);
     return { near, far, isNear };
   }
 
-  private take(endpoint: Endpoint, profile: ServiceProfile | undefined): void {
+  private addOrUpdate(endpoint: Endpoint, profile: ServiceProfile | undefined): void {
     const known = this.handles.get(endpoint.id);
     if (known) {
       known.endpoint = endpoint;
-      known.takeProfile(profile);
-      this.takeCold(known, endpoint);
+      known.updateProfile(profile);
+      this.extendColdStart(known, endpoint);
       return;
     }
     const region = this.settings.regions.get(endpoint.dataCentre) ?? '';
     const isNear = region === this.settings.region;
     const { clock, metrics } = this;
-    const peers = (): number => Math.max(0, this.sharers(region).near - (isNear ? 1 : 0));
+    const peers = (): number =>
+      Math.max(0, this.getCapacitySharers(region).near - (isNear ? 1 : 0));
     const phase = this.random.next();
     const handle = new EndpointHandle(
       endpoint,
@@ -168,36 +169,36 @@
       metrics,
       peers,
       phase,
-      this.takeHealth(endpoint.id),
+      this.restoreHealth(endpoint.id),
     );
-    this.takeCold(handle, endpoint);
+    this.extendColdStart(handle, endpoint);
     this.handles.set(endpoint.id, handle);
   }
 
   /** How an endpoint behaved that is new here: one that was here before was started anew. */
-  private takeHealth(id: string): EndpointHealth {
-    const health = this.past.get(id);
+  private restoreHealth(id: string): EndpointHealth {
+    const health = this.formerHealth.get(id);
     if (!health) return new EndpointHealth();
-    this.past.delete(id);
+    this.formerHealth.delete(id);
     health.restarted(this.clock.now());
     return health;
   }
 
-  private forgetPast(): void {
+  private pruneFormerHealth(): void {
     const now = this.clock.now();
-    this.past.forEach((health, id) => {
-      if (!health.hasFallen(now)) this.past.delete(id);
+    this.formerHealth.forEach((health, id) => {
+      if (!health.hasFallen(now)) this.formerHealth.delete(id);
     });
   }
 
-  private takeCold(handle: EndpointHandle, { coldLeftMs }: Endpoint): void {
+  private extendColdStart(handle: EndpointHandle, { coldLeftMs }: Endpoint): void {
     if (coldLeftMs <= 0) return;
     Object.assign(handle, {
       coldUntil: Math.max(handle.coldUntil, this.clock.now() + coldLeftMs),
     });
   }
 
-  private mayServe(
+  private isEligible(
     handle: EndpointHandle,
     { homeRegions, tried }: Eligibility,
     now: number,
@@ -210,12 +211,12 @@
       !tried.has(endpoint.id) &&
       !this.state.isEvacuated(endpoint.dataCentre) &&
       homeRegions.every((homes) => homes.length === 0 || homes.includes(region)) &&
-      this.hasWeights(handle, now)
+      this.hasUsableWeights(handle, now)
     );
   }
 
   /** Plain services need no weights; an engine must have all layers of a version still in use. */
-  private hasWeights(handle: EndpointHandle, now: number): boolean {
+  private hasUsableWeights(handle: EndpointHandle, now: number): boolean {
     if (!handle.model) return true;
     const { version, profile } = handle;
     const model = profile?.engine?.models[0]?.name;
@@ -229,27 +230,27 @@
   }
 
   /** Whether it has not failed or fallen silent lately. */
-  private static isSound(handle: EndpointHandle, now: number): boolean {
+  private static isHealthy(handle: EndpointHandle, now: number): boolean {
     return handle.health.mayTry(handle.load.own, now) && !handle.isSilent(now);
   }
 
-  private hasRoom(handle: EndpointHandle, now: number): boolean {
-    if (!EndpointDirectory.isSound(handle, now)) return false;
-    const entries = this.sharing.connecting;
+  private hasCapacity(handle: EndpointHandle, now: number): boolean {
+    if (!EndpointDirectory.isHealthy(handle, now)) return false;
+    const entries = this.entryCounts.forConnections;
     const { profile, pool, coldRate, coldUntil } = handle;
     const most = Math.max(
       1,
       Math.floor(((profile?.maxConnections ?? 0) * connectionShare) / entries),
     );
-    if (!pool.hasRoom(most)) return false;
-    if (handle.model && !handle.load.hasRoom({ ...roomLimits, slots: handle.slots }, now))
+    if (!pool.hasCapacity(most)) return false;
+    if (handle.model && !handle.load.hasRoom({ ...engineQueueLimits, slots: handle.slots }, now))
       return false;
     if (now >= coldUntil || !profile || profile.coldPerSecond <= 0) return true;
-    return coldRate.fits(this.coldShare(handle), now);
+    return coldRate.fits(this.getColdRateShare(handle), now);
   }
 
   /** Requests a second that this entry may send to an endpoint while it is cold. */
-  private coldShare({ profile }: EndpointHandle): number {
-    return (profile?.coldPerSecond ?? 0) / this.sharing.forColdEndpoints;
+  private getColdRateShare({ profile }: EndpointHandle): number {
+    return (profile?.coldPerSecond ?? 0) / this.entryCounts.forColdEndpoints;
   }
 }
--- a/packages/forwarding/src/endpointHandle.ts
+++ b/packages/forwarding/src/endpointHandle.ts
@@ -17,12 +17,12 @@
 }
 
 /** Time without any event on any stream after which an endpoint counts as silent, in milliseconds. */
-const silentMs = 500;
+const silenceTimeoutMs = 500;
 /** Requests at once to a plain service that does not say how many it runs. */
 const defaultSlots = 8;
 
 /** What may wait at an engine: a request for the next free slot, and prompts to be read. */
-export const roomLimits = { spare: 1, unreadMs: 200 } as const;
+export const engineQueueLimits = { spare: 1, unreadMs: 200 } as const;
 
 /** An endpoint as this entry uses it: its connections, its load and how it behaves. */
 export class EndpointHandle implements PlacementTarget {
@@ -36,7 +36,7 @@
   private readonly streams = new Set<MovableStream>();
 
   /** Monotonic time since when no stream has shown an event, in milliseconds. */
-  private quietSince = 0;
+  private lastActivityAt = 0;
 
   /** Monotonic time until which it is cold, in milliseconds. */
   coldUntil = 0;
@@ -71,7 +71,7 @@
     this.coldRate = new SharedRate(phase);
     this.load = new EndpointLoad(peers, isNear);
     this.pool = new ConnectionPool(endpoint.address, clock, metrics);
-    this.takeProfile(profile);
+    this.updateProfile(profile);
   }
 
   get id(): string {
@@ -92,7 +92,7 @@
 
   /** A stream has been sent there. */
   addStream(stream: MovableStream, now: number): void {
-    if (this.streams.size === 0) this.quietSince = now;
+    if (this.streams.size === 0) this.lastActivityAt = now;
     this.streams.add(stream);
   }
 
@@ -101,23 +101,23 @@
   }
 
   /** A stream has shown an event. */
-  heardEvent(now: number): void {
-    this.quietSince = now;
+  recordEvent(now: number): void {
+    this.lastActivityAt = now;
   }
 
   /** Whether it has streams to give and gives nothing. */
   isSilent(now: number): boolean {
-    return this.streams.size > 0 && now - this.quietSince > silentMs;
+    return this.streams.size > 0 && now - this.lastActivityAt > silenceTimeoutMs;
   }
 
   /** The agent beside the engine told its load; entries of some regions share the room. */
-  takeLoad(load: ReportedLoad, sharers: RoomSharers, random: Random, now: number): void {
-    const free = this.slots + roomLimits.spare - load.running - load.waiting;
-    const room = Math.min(free, this.model?.promptsFor(roomLimits.unreadMs) ?? free);
+  applyLoadReport(load: ReportedLoad, sharers: RoomSharers, random: Random, now: number): void {
+    const free = this.slots + engineQueueLimits.spare - load.running - load.waiting;
+    const room = Math.min(free, this.model?.promptsFor(engineQueueLimits.unreadMs) ?? free);
     this.load.report(load, this.load.own, roomShareOf(room, sharers, random), now);
   }
 
-  takeProfile(profile: ServiceProfile | undefined): void {
+  updateProfile(profile: ServiceProfile | undefined): void {
     if (profile?.engine && profile.engine !== this.profile?.engine) this.model = undefined;
     this.profile = profile;
     if (profile?.engine) this.model ??= new EngineModel(profile.engine);
--- a/packages/forwarding/src/entryGauges.ts
+++ b/packages/forwarding/src/entryGauges.ts
@@ -1,7 +1,7 @@
 import type { Clock, Gauge } from '@laburnumstream/common';
 import type { SharedRetryBudget } from '@laburnumstream/decisions';
-import type { CallerServer, ConfigurationChecks } from './callerServer.js';
-import type { DispatchLine } from './dispatchLine.js';
+import type { CallerServer, ConfigurationFreshness } from './callerServer.js';
+import type { DispatchQueue } from './dispatchLine.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import type { FleetState } from './fleetState.js';
@@ -10,16 +10,16 @@
 export interface EntryParts {
   readonly state: FleetState;
   readonly directory: EndpointDirectory;
-  readonly line: DispatchLine;
+  readonly queue: DispatchQueue;
   readonly budget: SharedRetryBudget;
   readonly callers: CallerServer;
-  readonly checks: ConfigurationChecks;
+  readonly freshness: ConfigurationFreshness;
   readonly clock: Clock;
 }
 
 function endpointGauges(handle: EndpointHandle, directory: EndpointDirectory): Gauge[] {
   const { service } = handle.endpoint;
-  const state = directory.stateOf(handle);
+  const state = directory.getState(handle);
   const gauges: Gauge[] = [{ name: 'endpoints', value: 1, labels: { service, state } }];
   if (!handle.model) return gauges;
   const version = String(handle.version ?? 0);
@@ -35,14 +35,14 @@
 
 /** What an entry believes and has in hand at the moment, as gauges. */
 export function entryGauges(parts: EntryParts): Gauge[] {
-  const { state, directory, line, budget, callers, checks, clock } = parts;
+  const { state, directory, queue: line, budget, callers, freshness: checks, clock } = parts;
   const endpoints = [...directory.all].flatMap((handle) => endpointGauges(handle, directory));
   const versions = [...state.newestVersions].map(([model, value]) => ({
     name: 'version_named',
     value,
     labels: { model },
   }));
-  const waiting = [...line.waiting].map(([service, value]) => ({
+  const waiting = [...line.queueLengths].map(([service, value]) => ({
     name: 'requests_waiting',
     value,
     labels: { service },
--- a/packages/forwarding/src/entryRegistration.ts
+++ b/packages/forwarding/src/entryRegistration.ts
@@ -1,17 +1,17 @@
 import { NotFound, toFailure } from '@laburnumstream/common';
 import type { Clock, KeyValueStore, Log, Metrics } from '@laburnumstream/common';
-import { StoreCall, StoreCallCounts } from './storeCallCounts.js';
+import { StoreCall, StoreCallCounter } from './storeCallCounts.js';
 
 /** Renewals in the length of a lease. */
-const renewals = 3;
+const renewalsPerLease = 3;
 /** Delay before a failed call is tried again, in milliseconds. */
-const retryMs = 1_000;
+const retryDelayMs = 1_000;
 
 /** Keeps this entry registered in the store, so that the others know how many share bounds. */
 export class EntryRegistration {
   private lease: string | undefined;
 
-  private readonly calls: StoreCallCounts;
+  private readonly callCounter: StoreCallCounter;
 
   constructor(
     private readonly store: KeyValueStore,
@@ -22,7 +22,7 @@
     metrics: Metrics,
     private readonly log: Log,
   ) {
-    this.calls = new StoreCallCounts(metrics);
+    this.callCounter = new StoreCallCounter(metrics);
   }
 
   /** Keeps the registration until the signal fires. */
@@ -49,14 +49,14 @@
     try {
       if (this.lease) await this.store.renewLease(this.lease, signal);
       else await this.register(signal);
-      this.calls.answered(StoreCall.lease);
-      return this.leaseMs / renewals;
+      this.callCounter.countSuccess(StoreCall.lease);
+      return this.leaseMs / renewalsPerLease;
     } catch (error) {
       const failure = toFailure(error);
       if (failure instanceof NotFound) this.lease = undefined;
       if (!signal.aborted) this.log.info('Registration not renewed.', { type: failure.type });
-      this.calls.failed(StoreCall.lease, error);
-      return retryMs;
+      this.callCounter.countFailure(StoreCall.lease, error);
+      return retryDelayMs;
     }
   }
 
--- a/packages/forwarding/src/eventDelivery.ts
+++ b/packages/forwarding/src/eventDelivery.ts
@@ -5,7 +5,7 @@
 
 /** What a caller has received of one stream, over all attempts. */
 export class EventDelivery {
-  private hasHead = false;
+  private hasWrittenHead = false;
 
   private lastId: number | undefined;
 
@@ -15,7 +15,7 @@
   firstEventMs: number | undefined;
 
   /** Longest pause between two events, in milliseconds. */
-  longestPauseMs = 0;
+  maxGapMs = 0;
 
   constructor(
     private readonly exchange: Exchange,
@@ -25,8 +25,8 @@
     this.lastId = exchange.head.lastEventId;
   }
 
-  get hasBegun(): boolean {
-    return this.hasHead;
+  get hasStarted(): boolean {
+    return this.hasWrittenHead;
   }
 
   /** The event after which another attempt has to go on. */
@@ -37,8 +37,8 @@
   /** Sends whole events on, with the head of the first attempt; returns whether there is room. */
   send(status: number, rawHeaders: readonly string[], events: readonly StreamEvent[]): boolean {
     const { response } = this.exchange;
-    this.begin(status, rawHeaders);
-    this.notePause();
+    this.writeHead(status, rawHeaders);
+    this.recordGap();
     let hasRoom = true;
     events.forEach(({ id, bytes }) => {
       // An endpoint that goes on may begin with events that the caller has.
@@ -51,21 +51,21 @@
 
   /** The stream is whole. */
   finish(status: number, rawHeaders: readonly string[], rest: Buffer): void {
-    this.begin(status, rawHeaders);
+    this.writeHead(status, rawHeaders);
     if (rest.length > 0) this.exchange.response.write(rest);
     this.exchange.response.end();
   }
 
-  private notePause(): void {
+  private recordGap(): void {
     const now = this.clock.now();
     if (this.lastSentAt === undefined) this.firstEventMs = now - this.exchange.arrivedAt;
-    else this.longestPauseMs = Math.max(this.longestPauseMs, now - this.lastSentAt);
+    else this.maxGapMs = Math.max(this.maxGapMs, now - this.lastSentAt);
     this.lastSentAt = now;
   }
 
-  private begin(status: number, rawHeaders: readonly string[]): void {
-    if (this.hasHead) return;
-    this.hasHead = true;
-    this.exchange.response.writeHead(status, this.codec.encodeAnswerHeaders(rawHeaders));
+  private writeHead(status: number, rawHeaders: readonly string[]): void {
+    if (this.hasWrittenHead) return;
+    this.hasWrittenHead = true;
+    this.exchange.response.writeHead(status, this.codec.encodeResponseHeaders(rawHeaders));
   }
 }
--- a/packages/forwarding/src/eventRelay.ts
+++ b/packages/forwarding/src/eventRelay.ts
@@ -6,7 +6,7 @@
 import type { MovableStream } from './endpointHandle.js';
 import type { EventDelivery } from './eventDelivery.js';
 import type { Exchange } from './exchange.js';
-import type { AnswerHead } from './heads.js';
+import type { ResponseHead } from './heads.js';
 
 /** How an attempt to stream ended. */
 export type StreamOutcome =
@@ -14,7 +14,7 @@
   | {
       readonly kind: 'answer';
       readonly status: number;
-      readonly head: AnswerHead;
+      readonly head: ResponseHead;
       readonly rawHeaders: readonly string[];
       readonly body: Buffer;
     }
@@ -23,14 +23,14 @@
 /** Longest time until the first event of an attempt, in milliseconds. */
 const firstEventTimeoutMs = 900;
 /** Longest pause between two events of an attempt, in milliseconds. */
-const pauseTimeoutMs = 700;
+const eventTimeoutMs = 700;
 
 /** Relays the events of one attempt to the caller. */
 export class EventRelay implements CallObserver, MovableStream {
   readonly outcome: Promise<StreamOutcome>;
 
   /** Resolves when the stream should go on elsewhere. */
-  readonly moveAsked: Promise<void>;
+  readonly moveRequested: Promise<void>;
 
   /** Asks for the stream to go on elsewhere. */
   readonly move: () => void;
@@ -43,11 +43,11 @@
 
   private readonly splitter = new EventSplitter();
 
-  private readonly parts: Buffer[] = [];
+  private readonly chunks: Buffer[] = [];
 
   private status = 0;
 
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
 
   private rawHeaders: readonly string[] = [];
 
@@ -60,13 +60,13 @@
     private readonly delivery: EventDelivery,
     private readonly clock: Clock,
     /** Whether the stream could go on elsewhere: else its endpoint's silence ends nothing. */
-    private readonly couldGoOn: () => boolean,
+    private readonly couldResume: () => boolean,
   ) {
     this.outcome = new Promise((resolve) => {
       this.settle = resolve;
     });
     let move: () => void = () => undefined;
-    this.moveAsked = new Promise((resolve) => {
+    this.moveRequested = new Promise((resolve) => {
       move = resolve;
     });
     this.move = move;
@@ -78,38 +78,38 @@
   }
 
   /** The request has been sent. */
-  follow(attempt: Attempt): void {
+  attach(attempt: Attempt): void {
     this.attempt = attempt;
     attempt.handle.addStream(this, this.clock.now());
     this.startTimer(firstEventTimeoutMs);
   }
 
-  began(status: number, head: AnswerHead, rawHeaders: readonly string[]): void {
+  onHead(status: number, head: ResponseHead, rawHeaders: readonly string[]): void {
     this.status = status;
     this.head = head;
     this.rawHeaders = rawHeaders;
     this.isStream = isSuccess(status) && judgeAnswer({ status, ...head }).use === AnswerUse.deliver;
   }
 
-  data(bytes: Buffer): void {
+  onData(bytes: Buffer): void {
     if (!this.isStream) {
-      this.parts.push(bytes);
+      this.chunks.push(bytes);
       return;
     }
     const events = this.splitter.take(bytes);
     if (events.length === 0) return;
     this.hasEvents = true;
-    this.startTimer(pauseTimeoutMs);
-    this.attempt?.wasRead();
-    this.attempt?.handle.heardEvent(this.clock.now());
+    this.startTimer(eventTimeoutMs);
+    this.attempt?.markPromptRead();
+    this.attempt?.handle.recordEvent(this.clock.now());
     if (this.delivery.send(this.status, this.rawHeaders, events)) return;
     this.attempt?.call.pause();
     this.exchange.response.once('drain', () => this.attempt?.call.resume());
   }
 
-  ended(): void {
-    this.leave();
-    if (this.isStream && this.isCut) {
+  onEnd(): void {
+    this.detach();
+    if (this.isStream && this.isTruncated) {
       const reason = this.hasEvents ? 'ended within an event' : 'ended without an event';
       this.settle({ kind: 'fault', fault: CallFault.truncated, reason });
       return;
@@ -120,32 +120,32 @@
       return;
     }
     const { status, rawHeaders } = this;
-    const body = Buffer.concat(this.parts);
+    const body = Buffer.concat(this.chunks);
     this.settle({ kind: 'answer', status, head: this.head!, rawHeaders, body });
   }
 
-  failed(fault: CallFault, reason: string): void {
-    this.leave();
+  onFailure(fault: CallFault, reason: string): void {
+    this.detach();
     this.settle({ kind: 'fault', fault, reason });
   }
 
   /** Ends the attempt from this side. */
   abort(): void {
-    this.leave();
+    this.detach();
     this.attempt?.call.abort();
-    this.attempt?.ended();
+    this.attempt?.markEnded();
     this.settle({ kind: 'fault', fault: CallFault.aborted, reason: 'ended by its owner' });
   }
 
   /** A stream that only its connection ended is not whole within an event, or before the first one. */
-  private get isCut(): boolean {
-    const { framing } = this.attempt?.call.evidence ?? {};
+  private get isTruncated(): boolean {
+    const { framing } = this.attempt?.call.stats ?? {};
     if (framing !== Framing.connection) return false;
     const hasBegun = this.hasEvents || this.delivery.lastEventId !== undefined;
     return !hasBegun || this.splitter.partial.length > 0;
   }
 
-  private leave(): void {
+  private detach(): void {
     clearTimeout(this.timer);
     this.attempt?.handle.removeStream(this);
   }
@@ -153,11 +153,11 @@
   private startTimer(ms: number): void {
     clearTimeout(this.timer);
     this.timer = setTimeout(() => {
-      if (!this.couldGoOn()) {
+      if (!this.couldResume()) {
         this.startTimer(ms);
         return;
       }
-      this.leave();
+      this.detach();
       this.attempt?.call.abort();
       this.settle({ kind: 'fault', fault: CallFault.silent, reason: `silent for ${ms} ms` });
     }, ms);
--- a/packages/forwarding/src/exchange.ts
+++ b/packages/forwarding/src/exchange.ts
@@ -21,7 +21,7 @@
 }
 
 /** The deadline of a request has passed. */
-export const deadlinePassed = Symbol('deadline passed');
+export const deadlineExceeded = Symbol('deadline passed');
 
 /** The caller has closed its connection. */
-export const callerLeft = Symbol('caller left');
+export const callerDisconnected = Symbol('caller left');
--- a/packages/forwarding/src/fleetChange.ts
+++ b/packages/forwarding/src/fleetChange.ts
@@ -13,7 +13,7 @@
   | { readonly kind: 'evacuation'; readonly dataCentre: string; readonly isActive: boolean }
   | { readonly kind: 'version'; readonly named: NamedVersion }
   /** Without a place when the entry is gone. */
-  | { readonly kind: 'entry'; readonly name: string; readonly place: EntryPlace | undefined };
+  | { readonly kind: 'entry'; readonly name: string; readonly location: EntryPlace | undefined };
 
 /** Decodes what lies in the store. */
 export interface FleetCodec {
--- a/packages/forwarding/src/fleetState.ts
+++ b/packages/forwarding/src/fleetState.ts
@@ -15,33 +15,33 @@
 
 const handlers: Handlers = {
   configuration: (state, { configuration }) =>
-    state.takeConfiguration(new RouteTable(configuration)),
+    state.setConfiguration(new RouteTable(configuration)),
   endpoint: (state, { id, endpoint }) =>
-    endpoint ? state.takeEndpoint(endpoint) : state.removeEndpoint(id),
-  evacuation: (state, { dataCentre, isActive }) => state.takeEvacuation(dataCentre, isActive),
-  version: (state, { named }, at) => state.takeVersion(named.model, named.version, at),
-  entry: (state, { name, place }) => state.takeEntry(name, place),
+    endpoint ? state.setEndpoint(endpoint) : state.removeEndpoint(id),
+  evacuation: (state, { dataCentre, isActive }) => state.setEvacuation(dataCentre, isActive),
+  version: (state, { named }, at) => state.addNamedVersion(named.model, named.version, at),
+  entry: (state, { name, location }) => state.setEntry(name, location),
 };
 
 /** What this entry knows of the fleet. Configurations and versions never go back. */
 export class FleetState {
-  private table: RouteTable | undefined;
+  private routeTable: RouteTable | undefined;
 
   private readonly endpointsById = new Map<string, Endpoint>();
 
   private readonly evacuated = new Set<string>();
 
   /** Versions of each model that operators named. */
-  private readonly versions = new Map<string, NamedVersions>();
+  private readonly namedVersionsByModel = new Map<string, NamedVersions>();
 
   /** Places of the registered entries by their names. */
-  private readonly entryPlaces = new Map<string, EntryPlace>();
+  private readonly locationsByEntry = new Map<string, EntryPlace>();
 
   /** Number of the registered entries of each data centre. */
-  private readonly entryCounts = new Map<string, number>();
+  private readonly entriesByDataCentre = new Map<string, number>();
 
   /** Number of changes of the registered entries. */
-  private entryRevision = 0;
+  private entryChanges = 0;
 
   /** Whether several changes are being taken, and whether any of them has to be told. */
   private batch: { isChanged: boolean } | undefined;
@@ -54,7 +54,7 @@
   ) {}
 
   get routes(): RouteTable | undefined {
-    return this.table;
+    return this.routeTable;
   }
 
   get endpoints(): ReadonlyMap<string, Endpoint> {
@@ -62,24 +62,24 @@
   }
 
   /** Number of entries that are registered. */
-  get entries(): number {
-    return this.entryPlaces.size;
+  get entryCount(): number {
+    return this.locationsByEntry.size;
   }
 
   /** Places of the registered entries by their names. */
-  get places(): ReadonlyMap<string, EntryPlace> {
-    return this.entryPlaces;
+  get entryLocations(): ReadonlyMap<string, EntryPlace> {
+    return this.locationsByEntry;
   }
 
   /** Grows with each change of the registered entries. */
   get entriesRevision(): number {
-    return this.entryRevision;
+    return this.entryChanges;
   }
 
   /** Number of entries that are registered in some data centres. */
-  entriesIn(isIncluded: (dataCentre: string) => boolean): number {
+  countEntries(isIncluded: (dataCentre: string) => boolean): number {
     let count = 0;
-    this.entryCounts.forEach((entries, dataCentre) => {
+    this.entriesByDataCentre.forEach((entries, dataCentre) => {
       if (isIncluded(dataCentre)) count += entries;
     });
     return count;
@@ -91,12 +91,12 @@
 
   /** Versions of a model that operators named; undefined when there are none. */
   namedVersions(model: string): NamedVersions | undefined {
-    return this.versions.get(model);
+    return this.namedVersionsByModel.get(model);
   }
 
   /** The newest named version of each model. */
   get newestVersions(): ReadonlyMap<string, number> {
-    return new Map([...this.versions].map(([model, { newest }]) => [model, newest]));
+    return new Map([...this.namedVersionsByModel].map(([model, { newest }]) => [model, newest]));
   }
 
   /** Takes a change that was made at `changedAt` or later, in monotonic milliseconds. */
@@ -106,7 +106,7 @@
   }
 
   /** Takes several changes; what follows from them is done once, after the last one. */
-  applyTogether(apply: () => void): void {
+  applyBatch(apply: () => void): void {
     const batch = { isChanged: false };
     this.batch = batch;
     try {
@@ -118,7 +118,7 @@
   }
 
   /** The removals of what a complete list of the store no longer has. */
-  missingIn(changes: readonly FleetChange[]): FleetChange[] {
+  getRemovals(changes: readonly FleetChange[]): FleetChange[] {
     const ids = new Set<string>();
     const dataCentres = new Set<string>();
     const names = new Set<string>();
@@ -133,23 +133,23 @@
     const evacuations = [...this.evacuated]
       .filter((dataCentre) => !dataCentres.has(dataCentre))
       .map((dataCentre) => ({ kind: 'evacuation', dataCentre, isActive: false }) as const);
-    const entries = [...this.entryPlaces.keys()]
+    const entries = [...this.locationsByEntry.keys()]
       .filter((name) => !names.has(name))
-      .map((name) => ({ kind: 'entry', name, place: undefined }) as const);
+      .map((name) => ({ kind: 'entry', name, location: undefined }) as const);
     return [...endpoints, ...evacuations, ...entries];
   }
 
-  takeConfiguration(table: RouteTable): void {
+  setConfiguration(table: RouteTable): void {
     const { version } = table.configuration;
-    const known = this.table?.configuration.version ?? -1;
+    const known = this.routeTable?.configuration.version ?? -1;
     if (version <= known) return;
-    this.table = table;
+    this.routeTable = table;
     this.metrics.gauge('configuration_version', version);
     this.log.info('Configuration in force.', { version, before: known });
-    this.changed();
+    this.notifyChange();
   }
 
-  takeEndpoint(endpoint: Endpoint): void {
+  setEndpoint(endpoint: Endpoint): void {
     const known = this.endpointsById.get(endpoint.id);
     this.endpointsById.set(endpoint.id, endpoint);
     const { id, service, dataCentre, isDraining, layers } = endpoint;
@@ -162,47 +162,50 @@
       layers: layers ? layers.to - layers.from : 0,
       isNew: known === undefined || known.bornAt !== endpoint.bornAt,
     });
-    this.changed();
+    this.notifyChange();
   }
 
   removeEndpoint(id: string): void {
     if (!this.endpointsById.delete(id)) return;
     this.log.info('Endpoint gone.', { endpoint: id });
-    this.changed();
+    this.notifyChange();
   }
 
-  takeEvacuation(dataCentre: string, isActive: boolean): void {
+  setEvacuation(dataCentre: string, isActive: boolean): void {
     if (isActive === this.evacuated.has(dataCentre)) return;
     if (isActive) this.evacuated.add(dataCentre);
     else this.evacuated.delete(dataCentre);
     this.log.info(isActive ? 'Data centre evacuated.' : 'Data centre returned.', { dataCentre });
-    this.changed();
+    this.notifyChange();
   }
 
-  takeVersion(model: string, version: number, namedAt: number): void {
-    const named = this.versions.get(model) ?? new NamedVersions();
+  addNamedVersion(model: string, version: number, namedAt: number): void {
+    const named = this.namedVersionsByModel.get(model) ?? new NamedVersions();
     if (version <= named.newest) return;
     named.name(version, namedAt);
-    this.versions.set(model, named);
+    this.namedVersionsByModel.set(model, named);
     this.log.info('Version named.', { model, version });
-    this.changed();
+    this.notifyChange();
   }
 
-  takeEntry(name: string, place: EntryPlace | undefined): void {
-    const known = this.entryPlaces.get(name);
-    if (known) this.countEntry(known.dataCentre, -1);
-    if (place) this.countEntry(place.dataCentre, 1);
-    if (place === undefined) this.entryPlaces.delete(name);
-    else this.entryPlaces.set(name, place);
-    this.entryRevision += 1;
-    this.metrics.gauge('entries', this.entryPlaces.size);
+  setEntry(name: string, place: EntryPlace | undefined): void {
+    const known = this.locationsByEntry.get(name);
+    if (known) this.adjustEntryCount(known.dataCentre, -1);
+    if (place) this.adjustEntryCount(place.dataCentre, 1);
+    if (place === undefined) this.locationsByEntry.delete(name);
+    else this.locationsByEntry.set(name, place);
+    this.entryChanges += 1;
+    this.metrics.gauge('entries', this.locationsByEntry.size);
   }
 
-  private countEntry(dataCentre: string, change: number): void {
-    this.entryCounts.set(dataCentre, (this.entryCounts.get(dataCentre) ?? 0) + change);
+  private adjustEntryCount(dataCentre: string, change: number): void {
+    this.entriesByDataCentre.set(
+      dataCentre,
+      (this.entriesByDataCentre.get(dataCentre) ?? 0) + change,
+    );
   }
 
-  private changed(): void {
+  private notifyChange(): void {
     if (this.batch) this.batch.isChanged = true;
     else this.onChange();
   }
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -10,22 +10,22 @@
 } from '@laburnumstream/common';
 import { ConfigurationProof, SharedRetryBudget } from '@laburnumstream/decisions';
 import { CallerServer } from './callerServer.js';
-import { DispatchLine } from './dispatchLine.js';
+import { DispatchQueue } from './dispatchLine.js';
 import { entryGauges } from './entryGauges.js';
 import { EndpointDirectory } from './endpointDirectory.js';
-import { EventStreams } from './eventStreams.js';
+import { StreamForwarder } from './eventStreams.js';
 import { EntryRegistration } from './entryRegistration.js';
 import type { FleetCodec } from './fleetChange.js';
-import { FleetFeed } from './fleetFeed.js';
+import { FleetWatcher } from './fleetFeed.js';
 import { FleetState } from './fleetState.js';
 import type { HeaderCodec } from './headerCodec.js';
 import { serveReadiness } from './readiness.js';
-import { SharingEntries } from './sharingEntries.js';
-import { SidecarLinks } from './sidecarLinks.js';
-import { WholeAnswers } from './wholeAnswers.js';
+import { EntryCounts } from './sharingEntries.js';
+import { AgentLinks } from './sidecarLinks.js';
+import { BufferedForwarder } from './wholeAnswers.js';
 
 /** What an entry needs from outside. */
-export interface EntryPorts {
+export interface EntryDependencies {
   readonly settings: ForwarderSettings;
   readonly store: StoreFeed & KeyValueStore;
   readonly fleetCodec: FleetCodec;
@@ -38,18 +38,18 @@
 }
 
 /** Part of the time for removed keys that a proof may be old: the rest is for requests on their way. */
-const proofShare = 0.92;
+const proofAgeShare = 0.92;
 /** Time beyond that for a new configuration after which nobody is told that a key is not there. */
 const denialSlackMs = 500;
 /** Time in which the balancer and callers notice that this process leaves, in milliseconds. */
-const noticeMs = 3_000;
+const drainNoticeMs = 3_000;
 /** Time after which an entry that is gone is no longer registered, in milliseconds. */
-const leaseMs = 9_000;
+const minLeaseMs = 9_000;
 const drainPollMs = 50;
 /** Time that is left for the end of a process that has to stop, in milliseconds. */
-const stopMarginMs = 1_000;
+const shutdownMarginMs = 1_000;
 
-function addressOf(address: string): { host: string; port: number } {
+function parseAddress(address: string): { host: string; port: number } {
   const [host = '', port = '0'] = address.split(':');
   return { host, port: Number(port) };
 }
@@ -58,35 +58,35 @@
 export class ForwardingEntry {
   private readonly state: FleetState;
 
-  private readonly feed: FleetFeed;
+  private readonly watcher: FleetWatcher;
 
   private readonly directory: EndpointDirectory;
 
-  private readonly line: DispatchLine;
+  private readonly queue: DispatchQueue;
 
   private readonly callers: CallerServer;
 
-  private readonly sidecars: SidecarLinks;
+  private readonly agents: AgentLinks;
 
   private readonly registration: EntryRegistration;
 
   private isStopping = false;
 
-  constructor(private readonly ports: EntryPorts) {
-    const { settings, store, fleetCodec, headerCodec, clock, random, metrics, log } = ports;
+  constructor(private readonly dependencies: EntryDependencies) {
+    const { settings, store, fleetCodec, headerCodec, clock, random, metrics, log } = dependencies;
     const { bounds } = settings;
     const proofClock = new SleepAwareClock(clock);
     const proof = new ConfigurationProof(
-      bounds.revocationMs * proofShare,
+      bounds.revocationMs * proofAgeShare,
       bounds.configurationMs + denialSlackMs,
     );
-    this.state = new FleetState(metrics, log('fleet'), () => this.fleetChanged());
-    const sharing = new SharingEntries(this.state, settings, clock);
+    this.state = new FleetState(metrics, log('fleet'), () => this.handleFleetChange());
+    const sharing = new EntryCounts(this.state, settings, clock);
     const confirm = (calledAt: number): void => {
       proof.confirm(calledAt);
-      sharing.storeAnswered();
+      sharing.update();
     };
-    this.feed = new FleetFeed(
+    this.watcher = new FleetWatcher(
       store,
       fleetCodec,
       this.state,
@@ -98,8 +98,8 @@
       bounds.versionMs,
     );
     this.directory = new EndpointDirectory(settings, this.state, clock, metrics, random, sharing);
-    this.line = new DispatchLine(this.directory, clock, random, metrics, log('line'));
-    this.sidecars = new SidecarLinks(
+    this.queue = new DispatchQueue(this.directory, clock, random, metrics, log('line'));
+    this.agents = new AgentLinks(
       settings,
       this.state,
       this.directory,
@@ -107,13 +107,13 @@
       random,
       metrics,
       log('sidecars'),
-      (handle) => this.line.look(handle.endpoint.service, handle),
+      (handle) => this.queue.dispatch(handle.endpoint.service, handle),
     );
     this.registration = new EntryRegistration(
       store,
       fleetCodec.entryKey(settings.instance),
       fleetCodec.encodeEntry(settings),
-      Math.max(leaseMs, settings.store.shortestLeaseMs),
+      Math.max(minLeaseMs, settings.store.shortestLeaseMs),
       clock,
       metrics,
       log('registration'),
@@ -124,61 +124,61 @@
       windowMs: bounds.retryWindowMs,
     };
     const services = {
-      line: this.line,
+      queue: this.queue,
       directory: this.directory,
-      budget: new SharedRetryBudget(bound, () => sharing.forRepeats),
-      loadChanged: () => this.sidecars.loadChanged(),
+      budget: new SharedRetryBudget(bound, () => sharing.forRetries),
+      onLoadChange: () => this.agents.handleLoadChange(),
       codec: headerCodec,
       clock,
       metrics,
       log: log('requests'),
     };
-    const forwardings = {
-      [Repetition.idempotent]: new WholeAnswers(services, true),
-      [Repetition.nonIdempotent]: new WholeAnswers(services, false),
-      [Repetition.stream]: new EventStreams(services),
+    const forwarders = {
+      [Repetition.idempotent]: new BufferedForwarder(services, true),
+      [Repetition.nonIdempotent]: new BufferedForwarder(services, false),
+      [Repetition.stream]: new StreamForwarder(services),
     };
-    const checks = {
-      mayHonour: () => !bounds.refusesWithoutProof || proof.mayHonour(proofClock.now()),
+    const freshness = {
+      mayAcceptKeys: () => !bounds.refusesWithoutProof || proof.mayHonour(proofClock.now()),
       mayDeny: () => proof.mayDeny(proofClock.now()),
       ageMs: () => proof.ageMs(proofClock.now()),
     };
     this.callers = new CallerServer(
       this.state,
-      checks,
-      forwardings,
+      freshness,
+      forwarders,
       headerCodec,
       clock,
       random,
       metrics,
       log('callers'),
     );
-    const { state, directory, line, callers } = this;
+    const { state, directory, queue, callers } = this;
     const { budget } = services;
-    const parts = { state, directory, line, callers, budget, checks, clock };
+    const parts = { state, directory, queue, callers, budget, freshness, clock };
     metrics.sample(() => entryGauges(parts));
   }
 
   /** Starts serving; resolves when all servers listen. */
   async start(signal: AbortSignal): Promise<void> {
-    const { callers, readiness } = this.ports.settings;
-    const ready = addressOf(readiness);
-    void this.feed.run(signal);
-    void this.sidecars.run(signal);
+    const { callers, readiness } = this.dependencies.settings;
+    const ready = parseAddress(readiness);
+    void this.watcher.run(signal);
+    void this.agents.run(signal);
     void this.registration.run(signal);
     await serveReadiness(ready.host, ready.port, () => this.isReady(), signal);
-    const { host, port } = addressOf(callers);
+    const { host, port } = parseAddress(callers);
     await this.callers.listen(host, port);
   }
 
   /** Lets running requests end; resolves when there are none or the time is over. */
   async stop(): Promise<void> {
-    const { clock, settings } = this.ports;
+    const { clock, settings } = this.dependencies;
     this.isStopping = true;
     void this.registration.withdraw();
-    this.callers.leave();
-    const endAt = clock.now() + settings.bounds.shutdownMs - stopMarginMs;
-    const noticeAt = clock.now() + Math.min(noticeMs, settings.bounds.shutdownMs / 2);
+    this.callers.startDraining();
+    const endAt = clock.now() + settings.bounds.shutdownMs - shutdownMarginMs;
+    const noticeAt = clock.now() + Math.min(drainNoticeMs, settings.bounds.shutdownMs / 2);
     while (clock.now() < noticeAt) await clock.sleep(drainPollMs);
     this.callers.closeIdle();
     while (this.callers.active > 0 && clock.now() < endAt) await clock.sleep(drainPollMs);
@@ -188,10 +188,10 @@
     return !this.isStopping && this.state.routes !== undefined;
   }
 
-  private fleetChanged(): void {
+  private handleFleetChange(): void {
     this.callers.applyLimits();
     this.directory.refresh();
-    this.sidecars.tellSoon();
-    this.line.lookAtAll();
+    this.agents.scheduleUpdate();
+    this.queue.dispatchAll();
   }
 }
--- a/packages/forwarding/src/heads.ts
+++ b/packages/forwarding/src/heads.ts
@@ -9,20 +9,20 @@
   /** The last event that the caller has received of the stream that it wants to go on. */
   readonly lastEventId: number | undefined;
   readonly promptTokens: number | undefined;
-  readonly mostAnswerTokens: number | undefined;
+  readonly maxOutputTokens: number | undefined;
   /** The caller's estimate, often far off. */
-  readonly expectedAnswerTokens: number | undefined;
+  readonly expectedOutputTokens: number | undefined;
 }
 
 /** Load that an endpoint tells with an answer. */
-export interface AnsweredLoad {
+export interface ResponseLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
 /** The head of an endpoint's answer, decoded. */
-export interface AnswerHead {
+export interface ResponseHead {
   /** Id of the request that is answered; another one means that answers have crossed. */
   readonly requestId: string | undefined;
   /** Whether the endpoint vouches for the answer. */
@@ -34,16 +34,16 @@
   readonly endpointId: string | undefined;
   readonly weightsVersion: number | undefined;
   readonly coldLeftMs: number | undefined;
-  readonly load: AnsweredLoad | undefined;
+  readonly load: ResponseLoad | undefined;
 }
 
 /** What a request is sent to an endpoint with, besides the caller's own headers. */
-export interface SendTerms {
+export interface RequestMetadata {
   /** Time left for the answer, in milliseconds. */
   readonly timeLeftMs: number;
   readonly endpointId: string;
   /** Whether the caller's key is kept from the endpoint. */
-  readonly hidesKey: boolean;
+  readonly stripsKey: boolean;
   readonly workspace: string | undefined;
   readonly lastEventId: number | undefined;
   /** From 0, the most urgent, to 9. */
--- a/packages/forwarding/src/loadSharing.ts
+++ b/packages/forwarding/src/loadSharing.ts
@@ -6,14 +6,14 @@
 import type { FleetState } from './fleetState.js';
 
 /** Time in which changes are collected for each group of peers that is told, in milliseconds. */
-const collectMs = 5;
-const groupPeers = 4;
+const batchMsPerGroup = 5;
+const peersPerGroup = 4;
 
 /**
  * Tells the other entries of the region what this one has at the region's engines, and learns what
  * they have there: reports of the engines are too old to keep entries from filling the same slots.
  */
-export class LoadSharing {
+export class LoadBroadcast {
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -25,16 +25,16 @@
   ) {}
 
   /** Tells soon, with the changes that come until then; the rate does not grow with the peers. */
-  tellSoon(): void {
+  schedule(): void {
     if (this.timer) return;
-    const groups = Math.max(1, Math.ceil(this.peers.length / groupPeers));
+    const groups = Math.max(1, Math.ceil(this.peers.length / peersPerGroup));
     this.timer = setTimeout(() => {
       this.timer = undefined;
-      this.tell();
-    }, collectMs * groups);
+      this.send();
+    }, batchMsPerGroup * groups);
   }
 
-  tell(): void {
+  send(): void {
     const { peers } = this;
     if (peers.length === 0) return;
     const shares = this.engines
@@ -47,7 +47,7 @@
   }
 
   /** Another entry told its load. */
-  take({ shares }: EntryLoad, sender: string): void {
+  receive({ shares }: EntryLoad, sender: string): void {
     const now = this.clock.now();
     const told = new Map(shares.map((share) => [share.address, share]));
     this.engines.forEach(({ endpoint, load }) => {
@@ -59,7 +59,7 @@
   /** Addresses of the other entries of this region. */
   private get peers(): string[] {
     const { instance, region, regions } = this.settings;
-    return [...this.state.places]
+    return [...this.state.entryLocations]
       .filter(([name, { dataCentre }]) => name !== instance && regions.get(dataCentre) === region)
       .map(([, { host }]) => host);
   }
--- a/packages/forwarding/src/refusal.ts
+++ b/packages/forwarding/src/refusal.ts
@@ -31,7 +31,7 @@
 }
 
 /** The failure of a request whose deadline has passed. */
-export function lateFailure(error: unknown): Failure {
+export function toDeadlineFailure(error: unknown): Failure {
   const { execution } = toFailure(error);
   if (execution !== Execution.notRun) return new Timeout('The deadline has passed.');
   return new Refusal(RefusalReason.deadline, 'No endpoint was free before the deadline.', 0);
--- a/packages/forwarding/src/requestCounts.ts
+++ b/packages/forwarding/src/requestCounts.ts
@@ -1,6 +1,6 @@
 import { Execution } from '@laburnumstream/common';
 import type { Failure, Metrics, Route } from '@laburnumstream/common';
-import { callerLeft } from './exchange.js';
+import { callerDisconnected } from './exchange.js';
 import type { Exchange } from './exchange.js';
 import { Refusal } from './refusal.js';
 
@@ -26,24 +26,24 @@
 const noRoute = 'none';
 
 /** Counts callers' requests by route, outcome and reason. */
-export class RequestCounts {
+export class RequestCounter {
   constructor(private readonly metrics: Metrics) {}
 
   /** The forwarding of a request has ended, with an answer or a part of one. */
-  forwarded({ route, response, signal }: Exchange): void {
-    if (signal.reason === callerLeft) this.left(route);
+  countForwarded({ route, response, signal }: Exchange): void {
+    if (signal.reason === callerDisconnected) this.countDisconnected(route);
     else if (response.writableEnded) {
       this.count(route, RequestOutcome.answered, String(response.statusCode));
     } else this.count(route, RequestOutcome.cut, noReason);
   }
 
   /** The caller left before the end. */
-  left(route: Route | undefined): void {
+  countDisconnected(route: Route | undefined): void {
     this.count(route, RequestOutcome.left, noReason);
   }
 
   /** The caller was told of a failure. */
-  failed(route: Route | undefined, failure: Failure): void {
+  countFailed(route: Route | undefined, failure: Failure): void {
     const reason = failure instanceof Refusal ? failure.reason : failure.type;
     const isRefused = failure.execution === Execution.notRun && failure.retryAfterMs !== undefined;
     this.count(route, isRefused ? RequestOutcome.refused : RequestOutcome.failed, reason);
--- a/packages/forwarding/src/sharingEntries.ts
+++ b/packages/forwarding/src/sharingEntries.ts
@@ -3,18 +3,18 @@
 import type { FleetState } from './fleetState.js';
 
 /** Entries that share bounds as long as it is not known how many there are. */
-const mostEntries = 16;
+const assumedEntries = 16;
 /** Window over which requests to a cold endpoint count, in milliseconds. */
 const coldWindowMs = 1_000;
 
 /** How many entries share the bounds that all of them keep together. */
-export class SharingEntries {
+export class EntryCounts {
   /** The name under which this entry registers. */
   private readonly instance: string;
 
-  private readonly repeating: EntryCount;
+  private readonly retrying: EntryCount;
 
-  private readonly sendingToCold = new EntryCount(mostEntries, coldWindowMs);
+  private readonly sendingToCold = new EntryCount(assumedEntries, coldWindowMs);
 
   constructor(
     private readonly state: FleetState,
@@ -23,27 +23,27 @@
   ) {
     this.instance = instance;
     // A process that starts anew may have used its share before, so it has none of its own at first.
-    const unknownCount = isFirstStart ? mostEntries : Infinity;
-    this.repeating = new EntryCount(unknownCount, bounds.retryWindowMs);
+    const unknownCount = isFirstStart ? assumedEntries : Infinity;
+    this.retrying = new EntryCount(unknownCount, bounds.retryWindowMs);
   }
 
   /** The store has answered; the state holds what it told. */
-  storeAnswered(): void {
-    const { entries, places } = this.state;
+  update(): void {
+    const { entryCount: entries, entryLocations: places } = this.state;
     const now = this.clock.now();
     const isIncluded = places.has(this.instance);
-    this.repeating.told(entries, isIncluded, now);
+    this.retrying.told(entries, isIncluded, now);
     this.sendingToCold.told(entries, isIncluded, now);
   }
 
   /** Entries that share endpoints' connections. */
-  get connecting(): number {
-    return this.state.entries || mostEntries;
+  get forConnections(): number {
+    return this.state.entryCount || assumedEntries;
   }
 
   /** Entries that share the bound on repeats. */
-  get forRepeats(): number {
-    return this.repeating.at(this.clock.now());
+  get forRetries(): number {
+    return this.retrying.at(this.clock.now());
   }
 
   /** Entries that share the rate of a cold endpoint. */
--- a/packages/forwarding/src/sidecarLinks.ts
+++ b/packages/forwarding/src/sidecarLinks.ts
@@ -6,33 +6,31 @@
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import type { FleetState } from './fleetState.js';
-import { LoadSharing } from './loadSharing.js';
+import { LoadBroadcast } from './loadSharing.js';
 
 /** Time between two datagrams to each agent, in milliseconds. */
-const tellMs = 1_000;
+const updateIntervalMs = 1_000;
 /** Entries of a region that tell an agent of weights each second, in its own region and in others. */
-const tellers = { near: 4, far: 1 } as const;
+const sendersPerAgent = { near: 4, far: 1 } as const;
 /** Time in which further changes are told with the first one, in milliseconds. */
-const changeDelayMs = 15;
+const changeBatchMs = 15;
 /** Time in which streams end by themselves at an engine that is about to load, in milliseconds. */
-const settleMs = 250;
+const moveGraceMs = 250;
 const permille = 1_000;
 const kilobit = 1_000;
 
-type WeightNewsContent = NonNullable<
-  Extract<DatagramContent, { case: 'fleet' }>['value']['weights']
->;
+type WeightUpdate = NonNullable<Extract<DatagramContent, { case: 'fleet' }>['value']['weights']>;
 
 /** Tells the agents beside engines what they need to know, and takes their reports. */
-export class SidecarLinks {
+export class AgentLinks {
   private readonly datagrams: FleetDatagrams;
 
-  private readonly sharing: LoadSharing;
+  private readonly loadBroadcast: LoadBroadcast;
 
-  private readonly tellers: NewsTellers;
+  private readonly senders: NewsTellers;
 
   /** Changes of the registered entries that the tellers are drawn from. */
-  private tellersRevision = -1;
+  private sendersRevision = -1;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -48,47 +46,47 @@
     private readonly onReport: (endpoint: EndpointHandle) => void,
   ) {
     const handlers: DatagramHandlers = {
-      report: (report) => this.takeReport(report),
-      load: (load, { sender }) => this.sharing.take(load, sender),
+      report: (report) => this.handleReport(report),
+      load: (load, { sender }) => this.loadBroadcast.receive(load, sender),
     };
     this.datagrams = new FleetDatagrams(settings.instance, handlers, clock, metrics, log);
-    this.tellers = new NewsTellers(settings.instance);
-    this.sharing = new LoadSharing(settings, state, directory, this.datagrams, clock);
+    this.senders = new NewsTellers(settings.instance);
+    this.loadBroadcast = new LoadBroadcast(settings, state, directory, this.datagrams, clock);
   }
 
   async run(signal: AbortSignal): Promise<void> {
     await this.datagrams.bind(this.settings.host, this.settings.firstPort, signal);
     while (!signal.aborted) {
-      this.tellAll(false);
-      this.sharing.tell();
-      await this.clock.sleep(tellMs, signal).catch(() => undefined);
+      this.sendUpdates(false);
+      this.loadBroadcast.send();
+      await this.clock.sleep(updateIntervalMs, signal).catch(() => undefined);
     }
   }
 
   /** Tells all agents soon, after a change that they have to know. */
-  tellSoon(): void {
+  scheduleUpdate(): void {
     this.timer ??= setTimeout(() => {
       this.timer = undefined;
-      this.tellAll(true);
-    }, changeDelayMs);
+      this.sendUpdates(true);
+    }, changeBatchMs);
   }
 
   /** This entry's load at an endpoint has changed. */
-  loadChanged(): void {
-    this.sharing.tellSoon();
+  handleLoadChange(): void {
+    this.loadBroadcast.schedule();
   }
 
-  private tellAll(isChange: boolean): void {
-    const news = new Map<string, WeightNewsContent | undefined>();
-    this.refreshTellers();
+  private sendUpdates(isChange: boolean): void {
+    const news = new Map<string, WeightUpdate | undefined>();
+    this.refreshSenders();
     [...this.directory.all].forEach((handle) => {
       if (!handle.model) return;
       const { service, address } = handle.endpoint;
-      if (!news.has(service)) news.set(service, this.weightNews(handle));
+      if (!news.has(service)) news.set(service, this.createWeightUpdate(handle));
       const known = news.get(service);
-      const tells = known && this.tellsWeights(handle, known.namedMsAgo ?? 0, isChange);
+      const tells = known && this.shouldSendWeights(handle, known.namedMsAgo ?? 0, isChange);
       const weights = tells ? known : undefined;
-      const reportEveryMs = this.reportEveryMs(handle);
+      const reportEveryMs = this.getReportIntervalMs(handle);
       const value = weights ? { reportEveryMs, weights } : { reportEveryMs };
       this.datagrams.send({ case: 'fleet', value }, address.split(':')[0]!);
     });
@@ -99,35 +97,38 @@
    * other times a few. Agents of other regions hear of a new version from one entry of each region: those
    * of their own may be cut off from the store.
    */
-  private tellsWeights(
+  private shouldSendWeights(
     { isNear, endpoint }: EndpointHandle,
     namedMsAgo: number,
     isChange: boolean,
   ): boolean {
     const { instance, bounds } = this.settings;
     if (!isNear) {
-      return namedMsAgo <= bounds.versionMs && this.tellers.isAmong(endpoint.address, tellers.far);
+      return (
+        namedMsAgo <= bounds.versionMs &&
+        this.senders.isAmong(endpoint.address, sendersPerAgent.far)
+      );
     }
-    if (isChange || !this.state.places.has(instance)) return true;
-    return this.tellers.isAmong(endpoint.address, tellers.near);
+    if (isChange || !this.state.entryLocations.has(instance)) return true;
+    return this.senders.isAmong(endpoint.address, sendersPerAgent.near);
   }
 
   /** Takes the entries of this region as tellers when they have changed. */
-  private refreshTellers(): void {
-    const { entriesRevision, places } = this.state;
-    if (entriesRevision === this.tellersRevision) return;
-    this.tellersRevision = entriesRevision;
+  private refreshSenders(): void {
+    const { entriesRevision, entryLocations: places } = this.state;
+    if (entriesRevision === this.sendersRevision) return;
+    this.sendersRevision = entriesRevision;
     const { region, regions } = this.settings;
     const near = [...places].filter(([, { dataCentre }]) => regions.get(dataCentre) === region);
-    this.tellers.take(near.map(([name]) => name));
+    this.senders.take(near.map(([name]) => name));
   }
 
-  private reportEveryMs({ isNear, region }: EndpointHandle): number {
-    const { near, far } = this.directory.sharers(region);
+  private getReportIntervalMs({ isNear, region }: EndpointHandle): number {
+    const { near, far } = this.directory.getCapacitySharers(region);
     return reportIntervalMs({ entries: isNear ? near : far, isNear });
   }
 
-  private weightNews({ endpoint, profile }: EndpointHandle): WeightNewsContent | undefined {
+  private createWeightUpdate({ endpoint, profile }: EndpointHandle): WeightUpdate | undefined {
     const engine = profile?.engine;
     const [model] = engine?.models ?? [];
     if (!engine || !model) return undefined;
@@ -147,7 +148,7 @@
       chunks: engine.chunks,
       chunkBytes: engine.chunkBytes,
       loadMs: Math.round(model.loadMs),
-      members: this.directory.of(endpoint.service).map((handle) => ({
+      members: this.directory.forService(endpoint.service).map((handle) => ({
         host: handle.endpoint.address.split(':')[0]!,
         dataCentre: handle.endpoint.dataCentre,
         version: handle.version ?? 0,
@@ -155,8 +156,8 @@
     };
   }
 
-  private takeReport(report: EndpointReport): void {
-    const handle = this.directory.at(report.address);
+  private handleReport(report: EndpointReport): void {
+    const handle = this.directory.findByAddress(report.address);
     if (
       !handle ||
       (handle.endpoint.bornAt !== 0 && handle.endpoint.bornAt !== Number(report.bornAt))
@@ -164,15 +165,15 @@
       return;
     const now = this.clock.now();
     const { running, waiting, pacePermille, version, isSwitching, isAnswering } = report;
-    const sharers = this.directory.sharers(handle.region);
+    const sharers = this.directory.getCapacitySharers(handle.region);
     const load = { running, waiting, pace: pacePermille / permille };
-    handle.takeLoad(load, sharers, this.random, now);
+    handle.applyLoadReport(load, sharers, this.random, now);
     if (handle.reportedVersion !== version || handle.isSwitching !== isSwitching) {
       this.log.info('Engine changed.', { endpoint: handle.id, version, isSwitching, isAnswering });
     }
     const switchAt = report.switchInMs === undefined ? undefined : now + report.switchInMs;
     // The engine ends what it runs before it loads other weights.
-    if (isSwitching && !handle.isSwitching) handle.moveStreams(settleMs);
+    if (isSwitching && !handle.isSwitching) handle.moveStreams(moveGraceMs);
     Object.assign(handle, { reportedVersion: version, isSwitching, isAnswering, switchAt });
     this.onReport(handle);
   }
--- a/packages/forwarding/src/storeCallCounts.ts
+++ b/packages/forwarding/src/storeCallCounts.ts
@@ -13,14 +13,14 @@
 export type StoreCall = (typeof StoreCall)[keyof typeof StoreCall];
 
 /** Counts calls to the store by what they are for and how they end. */
-export class StoreCallCounts {
+export class StoreCallCounter {
   constructor(private readonly metrics: Metrics) {}
 
-  answered(call: StoreCall): void {
+  countSuccess(call: StoreCall): void {
     this.metrics.count('store_calls', { call, outcome: 'answered' });
   }
 
-  failed(call: StoreCall, error: unknown): void {
+  countFailure(call: StoreCall, error: unknown): void {
     this.metrics.count('store_calls', { call, outcome: toFailure(error).type });
   }
 }
--- a/packages/forwarding/src/streamRun.ts
+++ b/packages/forwarding/src/streamRun.ts
@@ -2,14 +2,14 @@
 import { AnswerUse, AttemptSign, judgeAnswer } from '@laburnumstream/decisions';
 import type { Placement } from '@laburnumstream/decisions';
 import type { Attempt } from './attempt.js';
-import { Attempts } from './attempts.js';
+import { RequestAttempts } from './attempts.js';
 import type { AttemptServices } from './attempts.js';
 import { CallFault } from './endpointCall.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import { EventDelivery } from './eventDelivery.js';
 import { EventRelay } from './eventRelay.js';
 import type { StreamOutcome } from './eventRelay.js';
-import { deadlinePassed } from './exchange.js';
+import { deadlineExceeded } from './exchange.js';
 import type { Exchange } from './exchange.js';
 
 /** An attempt at a stream, and its outcome. */
@@ -21,13 +21,13 @@
 }
 
 /** What came first: the end of an attempt, or an endpoint to which the stream can move. */
-type Turn =
+type AttemptStep =
   | { readonly outcome: StreamOutcome }
   | { readonly placement: Placement<EndpointHandle> | undefined };
 
 /** One stream, over all its attempts. */
-export class StreamRun {
-  private readonly attempts: Attempts;
+export class StreamSession {
+  private readonly attempts: RequestAttempts;
 
   private readonly delivery: EventDelivery;
 
@@ -35,13 +35,13 @@
     private readonly exchange: Exchange,
     private readonly services: AttemptServices,
   ) {
-    this.attempts = new Attempts(exchange, services, exchange.route.isResumable);
+    this.attempts = new RequestAttempts(exchange, services, exchange.route.isResumable);
     this.delivery = new EventDelivery(exchange, services.codec, services.clock);
   }
 
   /** Whether the caller has received anything. */
-  get hasBegun(): boolean {
-    return this.delivery.hasBegun;
+  get hasStarted(): boolean {
+    return this.delivery.hasStarted;
   }
 
   /** The last event that the caller has received. */
@@ -53,40 +53,40 @@
   async run(): Promise<void> {
     for (;;) {
       const placement = await this.attempts.place(this.exchange.signal);
-      if (await this.attemptAt(placement)) return;
+      if (await this.runAttempt(placement)) return;
     }
   }
 
   /** Returns whether the stream has ended; false when it is to be tried once more. */
-  private async attemptAt(placement: Placement<EndpointHandle>): Promise<boolean> {
+  private async runAttempt(placement: Placement<EndpointHandle>): Promise<boolean> {
     let running = this.start(placement);
     for (;;) {
-      const turn = await this.untilMove(running);
-      if ('outcome' in turn) return this.takeOutcome(running.attempt, turn.outcome);
+      const turn = await this.nextStep(running);
+      if ('outcome' in turn) return this.handleOutcome(running.attempt, turn.outcome);
       if (turn.placement) running = this.moveTo(running, turn.placement);
-      else return this.takeOutcome(running.attempt, await running.outcome);
+      else return this.handleOutcome(running.attempt, await running.outcome);
     }
   }
 
   private start(placement: Placement<EndpointHandle>): RunningAttempt {
     const { exchange, delivery, attempts } = this;
-    const couldGoOn = (): boolean => attempts.couldRepeat(placement.target);
+    const couldGoOn = (): boolean => attempts.couldRetry(placement.target);
     const relay = new EventRelay(exchange, delivery, this.services.clock, couldGoOn);
     const attempt = attempts.send(placement, relay, delivery.lastEventId);
-    relay.follow(attempt);
-    return { attempt, relay, outcome: this.until(attempt, relay) };
+    relay.attach(attempt);
+    return { attempt, relay, outcome: this.waitForOutcome(attempt, relay) };
   }
 
   /** The end of an attempt, or what came of the wish to move it elsewhere. */
-  private async untilMove({ attempt, relay, outcome }: RunningAttempt): Promise<Turn> {
-    const ended = outcome.then((value): Turn => ({ outcome: value }));
-    const asked = relay.moveAsked.then((): Turn => ({ placement: undefined }));
+  private async nextStep({ attempt, relay, outcome }: RunningAttempt): Promise<AttemptStep> {
+    const ended = outcome.then((value): AttemptStep => ({ outcome: value }));
+    const asked = relay.moveRequested.then((): AttemptStep => ({ placement: undefined }));
     const first = await Promise.race([ended, asked]);
     if ('outcome' in first || !this.attempts.mayMove(attempt.handle)) return first;
     const placing = new LinkedAbort(this.exchange.signal);
     const placed = this.attempts.place(placing.signal).then(
-      (placement): Turn => ({ placement }),
-      (): Turn => ({ placement: undefined }),
+      (placement): AttemptStep => ({ placement }),
+      (): AttemptStep => ({ placement: undefined }),
     );
     const second = await Promise.race([ended, placed]);
     placing.end();
@@ -101,7 +101,7 @@
     const { id } = this.exchange.head;
     const { metrics, log } = this.services;
     relay.abort();
-    this.attempts.moved();
+    this.attempts.recordMove();
     metrics.count('streams_moved');
     log.debug('Stream moved.', {
       id,
@@ -112,29 +112,29 @@
     return this.start(placement);
   }
 
-  private takeOutcome(attempt: Attempt, outcome: StreamOutcome): boolean {
-    attempt.ended();
+  private handleOutcome(attempt: Attempt, outcome: StreamOutcome): boolean {
+    attempt.markEnded();
     if (outcome.kind === 'whole') {
-      this.count(attempt.handle, AttemptSign.answered);
-      this.logEnd(attempt);
+      this.recordHealth(attempt.handle, AttemptSign.answered);
+      this.recordCompletion(attempt);
       return true;
     }
-    if (outcome.kind === 'answer') return this.takeAnswer(attempt, outcome);
-    this.count(attempt.handle, AttemptSign.failed);
+    if (outcome.kind === 'answer') return this.handleResponse(attempt, outcome);
+    this.recordHealth(attempt.handle, AttemptSign.failed);
     const execution = outcome.fault === CallFault.connection ? Execution.notRun : Execution.unknown;
     const { fault, reason } = outcome;
-    if (this.attempts.mayRepeat({ attempt, execution, fault, reason })) return false;
-    if (execution === Execution.notRun) throw this.attempts.refusal();
+    if (this.attempts.mayRetry({ attempt, execution, fault, reason })) return false;
+    if (execution === Execution.notRun) throw this.attempts.createRefusal();
     throw new OutcomeUnknown('The connection to the endpoint broke.');
   }
 
-  private count(handle: EndpointHandle, sign: AttemptSign): void {
+  private recordHealth(handle: EndpointHandle, sign: AttemptSign): void {
     handle.health.count(sign, this.services.clock.now());
   }
 
-  private logEnd({ handle, call }: Attempt): void {
+  private recordCompletion({ handle, call }: Attempt): void {
     const { head, route, service } = this.exchange;
-    const { firstEventMs = 0, longestPauseMs, lastEventId } = this.delivery;
+    const { firstEventMs = 0, maxGapMs: longestPauseMs, lastEventId } = this.delivery;
     const { metrics, log } = this.services;
     metrics.observe('stream_first_event', firstEventMs);
     metrics.observe('stream_longest_pause', longestPauseMs);
@@ -142,8 +142,8 @@
       id: head.id,
       service,
       endpoint: handle.id,
-      ...call.evidence,
-      sends: this.attempts.sends,
+      ...call.stats,
+      sends: this.attempts.sendCount,
       firstEventMs: Math.round(firstEventMs),
       longestPauseMs: Math.round(longestPauseMs),
       goalMs: route.goalMs,
@@ -151,12 +151,13 @@
     });
   }
 
-  private until({ handle }: Attempt, relay: EventRelay): Promise<StreamOutcome> {
+  private waitForOutcome({ handle }: Attempt, relay: EventRelay): Promise<StreamOutcome> {
     const { signal } = this.exchange;
     return new Promise((resolve, reject) => {
       const stop = (): void => {
         const { wasSent, hasEvents } = relay;
-        if (signal.reason === deadlinePassed && !hasEvents) this.count(handle, AttemptSign.failed);
+        if (signal.reason === deadlineExceeded && !hasEvents)
+          this.recordHealth(handle, AttemptSign.failed);
         relay.abort();
         const execution = wasSent ? Execution.unknown : Execution.notRun;
         reject(new Timeout('The stream did not end in time.', execution));
@@ -171,23 +172,23 @@
   }
 
   /** Takes an answer that is no stream. */
-  private takeAnswer(
+  private handleResponse(
     attempt: Attempt,
     { status, head, rawHeaders, body }: Extract<StreamOutcome, { kind: 'answer' }>,
   ): boolean {
     const { use, execution, sign } = judgeAnswer({ status, ...head });
-    this.count(attempt.handle, sign);
-    const isAnswer = use === AnswerUse.deliver && !this.hasBegun;
+    this.recordHealth(attempt.handle, sign);
+    const isAnswer = use === AnswerUse.deliver && !this.hasStarted;
     const failed = { attempt, execution, fault: undefined, reason: `status ${status}` };
-    if (!isAnswer && this.attempts.mayRepeat(failed)) return false;
-    if (!this.hasBegun && use !== AnswerUse.discard) {
-      const headers = this.services.codec.encodeAnswerHeaders(rawHeaders);
+    if (!isAnswer && this.attempts.mayRetry(failed)) return false;
+    if (!this.hasStarted && use !== AnswerUse.discard) {
+      const headers = this.services.codec.encodeResponseHeaders(rawHeaders);
       headers.push('content-length', String(body.length));
       this.exchange.response.writeHead(status, headers);
       this.exchange.response.end(body);
       return true;
     }
-    if (execution === Execution.notRun) throw this.attempts.refusal();
+    if (execution === Execution.notRun) throw this.attempts.createRefusal();
     throw new OutcomeUnknown('The endpoint sent no stream.');
   }
 }
--- a/packages/forwarding/src/wholeAnswers.ts
+++ b/packages/forwarding/src/wholeAnswers.ts
@@ -1,69 +1,69 @@
 import { Execution, OutcomeUnknown, Timeout } from '@laburnumstream/common';
 import { AnswerUse, AttemptSign, judgeAnswer } from '@laburnumstream/decisions';
 import type { Attempt } from './attempt.js';
-import { Attempts } from './attempts.js';
+import { RequestAttempts } from './attempts.js';
 import type { AttemptServices } from './attempts.js';
-import { AnswerCollector } from './answerCollector.js';
-import type { CallOutcome, WholeAnswer } from './answerCollector.js';
+import { ResponseCollector } from './answerCollector.js';
+import type { CallOutcome, BufferedResponse } from './answerCollector.js';
 import { CallFault } from './endpointCall.js';
-import { deadlinePassed } from './exchange.js';
+import { deadlineExceeded } from './exchange.js';
 import type { Exchange } from './exchange.js';
 
 /** Least time for an answer before the request goes on elsewhere, in milliseconds. */
-const leastPatienceMs = 250;
+const minAttemptTimeoutMs = 250;
 /** Factor on the expected time of an answer before the request goes on elsewhere. */
-const patienceFactor = 5;
+const attemptTimeoutFactor = 5;
 
 /** Forwards requests whose answers are passed on once they are whole. */
-export class WholeAnswers {
+export class BufferedForwarder {
   constructor(
     private readonly services: AttemptServices,
     private readonly isIdempotent: boolean,
   ) {}
 
   /** Sends the request until there is an answer to deliver; throws a typed failure. */
-  async serve(exchange: Exchange): Promise<void> {
-    const attempts = new Attempts(exchange, this.services, this.isIdempotent);
+  async forward(exchange: Exchange): Promise<void> {
+    const attempts = new RequestAttempts(exchange, this.services, this.isIdempotent);
     for (;;) {
-      const collector = new AnswerCollector();
+      const collector = new ResponseCollector();
       const placement = await attempts.place(exchange.signal);
       const attempt = attempts.send(placement, collector, exchange.head.lastEventId);
-      const patience = this.startPatience(attempts, attempt, collector, placement.expectedMs);
-      const outcome = await this.until(attempt, collector, exchange);
+      const patience = this.startAttemptTimer(attempts, attempt, collector, placement.expectedMs);
+      const outcome = await this.waitForOutcome(attempt, collector, exchange);
       clearTimeout(patience);
-      attempt.ended();
+      attempt.markEnded();
       const isDone =
         outcome.kind === 'answer'
-          ? this.takeAnswer(exchange, attempts, attempt, outcome.answer)
-          : this.takeFault(attempts, attempt, outcome.fault, outcome.reason);
+          ? this.handleResponse(exchange, attempts, attempt, outcome.response)
+          : this.handleFault(attempts, attempt, outcome.fault, outcome.reason);
       if (isDone) return;
     }
   }
 
   /** Gives an attempt up that takes much longer than expected, if the request can go on elsewhere. */
-  private startPatience(
-    attempts: Attempts,
+  private startAttemptTimer(
+    attempts: RequestAttempts,
     attempt: Attempt,
-    collector: AnswerCollector,
+    collector: ResponseCollector,
     expectedMs: number,
   ): NodeJS.Timeout | undefined {
     if (!this.isIdempotent) return undefined;
-    const ms = Math.max(leastPatienceMs, expectedMs * patienceFactor);
+    const ms = Math.max(minAttemptTimeoutMs, expectedMs * attemptTimeoutFactor);
     return setTimeout(() => {
-      if (!attempts.couldRepeat(attempt.handle)) return;
+      if (!attempts.couldRetry(attempt.handle)) return;
       attempt.call.abort();
-      collector.failed(CallFault.silent, `no answer for ${Math.round(ms)} ms`);
+      collector.onFailure(CallFault.silent, `no answer for ${Math.round(ms)} ms`);
     }, ms);
   }
 
   /** The outcome of an attempt; throws `Timeout` when the request's time is over before. */
-  private until(attempt: Attempt, collector: AnswerCollector, { signal }: Exchange) {
+  private waitForOutcome(attempt: Attempt, collector: ResponseCollector, { signal }: Exchange) {
     return new Promise<CallOutcome>((resolve, reject) => {
       const stop = (): void => {
         const { wasSent } = attempt.call;
-        if (signal.reason === deadlinePassed) this.count(attempt, AttemptSign.failed);
+        if (signal.reason === deadlineExceeded) this.recordHealth(attempt, AttemptSign.failed);
         attempt.call.abort();
-        attempt.ended();
+        attempt.markEnded();
         const execution = wasSent ? Execution.unknown : Execution.notRun;
         reject(new Timeout('The endpoint did not answer in time.', execution));
       };
@@ -77,11 +77,11 @@
   }
 
   /** Delivers an answer, or returns false when the request is sent once more. */
-  private takeAnswer(
+  private handleResponse(
     exchange: Exchange,
-    attempts: Attempts,
+    attempts: RequestAttempts,
     attempt: Attempt,
-    answer: WholeAnswer,
+    answer: BufferedResponse,
   ): boolean {
     const { handle } = attempt;
     const { status, head } = answer;
@@ -91,42 +91,42 @@
       handle.load.report({ ...load, pace: 1 }, handle.load.own + 1, Infinity, clock.now());
     }
     const { use, execution, sign } = judgeAnswer({ status, ...head });
-    this.count(attempt, sign);
+    this.recordHealth(attempt, sign);
     if (use === AnswerUse.deliver) {
       this.deliver(exchange, attempt, answer);
       return true;
     }
     const reason = `status ${status}`;
-    if (attempts.mayRepeat({ attempt, execution, fault: undefined, reason })) return false;
+    if (attempts.mayRetry({ attempt, execution, fault: undefined, reason })) return false;
     if (use === AnswerUse.deliverIfLast) {
       this.deliver(exchange, attempt, answer);
       return true;
     }
-    if (execution === Execution.notRun) throw attempts.refusal();
+    if (execution === Execution.notRun) throw attempts.createRefusal();
     throw new OutcomeUnknown('The endpoint sent no answer that counts.');
   }
 
-  private takeFault(
-    attempts: Attempts,
+  private handleFault(
+    attempts: RequestAttempts,
     attempt: Attempt,
     fault: CallFault,
     reason: string,
   ): boolean {
-    this.count(attempt, AttemptSign.failed);
+    this.recordHealth(attempt, AttemptSign.failed);
     const execution = fault === CallFault.connection ? Execution.notRun : Execution.unknown;
-    if (attempts.mayRepeat({ attempt, execution, fault, reason })) return false;
-    if (execution === Execution.notRun) throw attempts.refusal();
+    if (attempts.mayRetry({ attempt, execution, fault, reason })) return false;
+    if (execution === Execution.notRun) throw attempts.createRefusal();
     throw new OutcomeUnknown('The connection to the endpoint broke.');
   }
 
-  private count({ handle }: Attempt, sign: AttemptSign): void {
+  private recordHealth({ handle }: Attempt, sign: AttemptSign): void {
     handle.health.count(sign, this.services.clock.now());
   }
 
   private deliver(
     { response, head, service, arrivedAt }: Exchange,
     { handle, call }: Attempt,
-    { status, rawHeaders, body }: WholeAnswer,
+    { status, rawHeaders, body }: BufferedResponse,
   ): void {
     const { clock, log } = this.services;
     log.info('Request answered.', {
@@ -134,10 +134,10 @@
       service,
       endpoint: handle.id,
       status,
-      ...call.evidence,
+      ...call.stats,
       ms: Math.round(clock.now() - arrivedAt),
     });
-    const headers = this.services.codec.encodeAnswerHeaders(rawHeaders);
+    const headers = this.services.codec.encodeResponseHeaders(rawHeaders);
     headers.push('content-length', String(body.length));
     response.writeHead(status, headers);
     response.end(body);
