--- a/packages/forwarding/src/answerCollector.ts
+++ b/packages/forwarding/src/answerCollector.ts
@@ -1,7 +1,7 @@
 import type { CallFault, CallObserver } from './endpointCall.js';
 import type { ResponseHead } from './heads.js';
 
-/** An endpoint's answer with its whole body. */
+/** An endpoint's response with its complete body. */
 export interface BufferedResponse {
   readonly status: number;
   readonly head: ResponseHead;
@@ -9,12 +9,12 @@
   readonly body: Buffer;
 }
 
-/** How an attempt ended: with an answer, or with a fault. */
+/** Outcome of a call: a response or a fault. */
 export type CallOutcome =
   | { readonly kind: 'answer'; readonly response: BufferedResponse }
   | { readonly kind: 'fault'; readonly fault: CallFault; readonly reason: string };
 
-/** Collects the answer of one call. */
+/** Buffers the response of one call. */
 export class ResponseCollector implements CallObserver {
   readonly outcome: Promise<CallOutcome>;
 
@@ -39,8 +39,8 @@
   }
 
   onEnd(): void {
-    const answer = { ...this.start!, body: Buffer.concat(this.chunks) };
-    this.settle({ kind: 'answer', response: answer });
+    const response = { ...this.start!, body: Buffer.concat(this.chunks) };
+    this.settle({ kind: 'answer', response });
   }
 
   onFailure(fault: CallFault, reason: string): void {
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -6,17 +6,17 @@
 export interface Attempt {
   readonly handle: EndpointHandle;
   readonly call: EndpointCall;
-  /** The endpoint has read the prompt. */
+  /** Records that the endpoint has processed the prompt. */
   markPromptRead(): void;
-  /** The endpoint is done with the request. */
+  /** Records that the endpoint has finished the request. */
   markEnded(): void;
 }
 
-/** An attempt that brought no answer to deliver. */
+/** An attempt without a response to deliver. */
 export interface FailedAttempt {
   readonly attempt: Attempt;
   readonly execution: Execution;
-  /** Undefined when the endpoint answered. */
+  /** Undefined if the endpoint responded. */
   readonly fault: CallFault | undefined;
   readonly reason: string;
 }
--- a/packages/forwarding/src/attempts.ts
+++ b/packages/forwarding/src/attempts.ts
@@ -12,17 +12,21 @@
 import type { HeaderCodec } from './headerCodec.js';
 import { Refusal, RefusalReason } from './refusal.js';
 
-/** Longest idle time of a connection for a request that may not be repeated, in milliseconds. */
+/**
+ * Longest idle time of a connection on which a non-retryable request is sent, in milliseconds: the
+ * endpoint may be closing one that was idle for longer.
+ */
 const maxNonRetryableIdleMs = 2_500;
+/** Delay after which a caller is asked to retry when all endpoints refused its request. */
 const retryDelayMs = 500;
-/** Part of a route's time below which a caller's time left tells that it has waited before. */
+/** A caller with less than this share of its route's timeout left is taken to retry after a refusal. */
 const callerRetryShare = 0.82;
-/** Time for which a stream that runs waits for another endpoint, in milliseconds. */
+/** Time within which a running stream that is to move needs another endpoint, in milliseconds. */
 const moveWaitMs = 800;
-/** Time of a plain service's answer, in milliseconds. */
+/** Expected response time of a plain service, in milliseconds. */
 const plainResponseMs = 25;
 
-/** What all requests share. */
+/** Services that all requests share. */
 export interface AttemptServices {
   readonly queue: DispatchQueue;
   readonly directory: EndpointDirectory;
@@ -35,33 +39,33 @@
   readonly log: Log;
 }
 
-/** The attempts of one request: where it was sent, and whether it may be sent once more. */
+/** The attempts of one request: the endpoints that were tried, and whether it may be retried. */
 export class RequestAttempts {
   private readonly tried = new Set<string>();
 
-  /** Endpoints that may have run it. */
+  /** Number of endpoints that may have executed the request. */
   private executions = 0;
 
-  /** Whether it still runs while another endpoint is sought. */
+  /** Whether the request is still running while another endpoint is sought. */
   private isMoving = false;
 
-  /** Times that it was sent to an endpoint. */
+  /** Number of times that the request was sent to an endpoint. */
   sendCount = 0;
 
-  /** Monotonic time since when it has to go on elsewhere, in milliseconds. */
+  /** Monotonic time since when another endpoint is needed, in milliseconds. */
   private retryingSince: number | undefined;
 
   constructor(
     private readonly exchange: Exchange,
     private readonly services: AttemptServices,
-    /** Whether it may run more than once. */
+    /** Whether the request may be executed more than once. */
     private readonly isRetryable: boolean,
   ) {
     const { budget, clock } = services;
     budget.earn(exchange.service, clock.now());
   }
 
-  /** Waits for an endpoint; throws a typed failure when there is none. */
+  /** Waits for an endpoint; rejects with a typed failure if there is none. */
   async place(signal: AbortSignal): Promise<Placement<EndpointHandle>> {
     try {
       return await this.services.queue.place(this.createPlacementRequest(), signal);
@@ -71,10 +75,7 @@
     }
   }
 
-  /**
-   * Whether the request may be sent once more after an attempt that failed; takes it from the
-   * budget.
-   */
+  /** Records a failed attempt and returns whether to retry; a retry is taken from the retry budget. */
   mayRetry({ attempt, execution, fault, reason }: FailedAttempt): boolean {
     const { exchange, services } = this;
     const { budget, clock, metrics, log } = services;
@@ -105,7 +106,7 @@
     return isRepeated;
   }
 
-  /** Whether the request could go on elsewhere if its attempt at `handle` were given up. */
+  /** Whether the request could be retried elsewhere if its attempt at `handle` were aborted. */
   couldRetry(handle: EndpointHandle): boolean {
     const { exchange, services } = this;
     const { directory, budget, clock } = services;
@@ -117,7 +118,7 @@
     );
   }
 
-  /** Whether a stream that runs well may move to another endpoint; takes that from the budget. */
+  /** Whether a running stream may move to another endpoint; a move is taken from the retry budget. */
   mayMove(handle: EndpointHandle): boolean {
     const { exchange, services } = this;
     if (!this.isRetryable || this.executions + 1 >= exchange.route.maxAttempts) return false;
@@ -129,16 +130,16 @@
     return true;
   }
 
-  /** The stream has moved: its endpoint has run it. */
+  /** Records that the stream has moved; its previous endpoint counts as an execution. */
   recordMove(): void {
     this.executions += 1;
     this.isMoving = false;
   }
 
-  /** The failure for a request whose last attempt did not run it and that is not sent any more. */
+  /** Returns the failure of a request that was not executed by its last attempt and is not retried. */
   createRefusal(): Failure {
     if (this.executions > 0)
-      return new OutcomeUnknown('An earlier attempt may have run the request.');
+      return new OutcomeUnknown('An earlier attempt may have executed the request.');
     const message = 'The endpoints refused the request.';
     return new Refusal(RefusalReason.endpointsRefused, message, retryDelayMs);
   }
@@ -147,8 +148,8 @@
     const { head, route, service, workspace, arrivedAt, deadlineAt } = this.exchange;
     const model = this.services.directory.forService(service)[0]?.model;
     const { promptTokens = 0 } = head;
-    const answerTokens = head.expectedOutputTokens ?? head.maxOutputTokens ?? 0;
-    const size = model?.sizeClass(promptTokens, answerTokens);
+    const outputTokens = head.expectedOutputTokens ?? head.maxOutputTokens ?? 0;
+    const size = model?.sizeClass(promptTokens, outputTokens);
     const goalAt = this.getGoalAt();
     return {
       id: head.id,
@@ -159,7 +160,7 @@
       isReturned: this.retryingSince === undefined && this.isCallerRetry(),
       startBy: model?.latestStart(goalAt, promptTokens) ?? goalAt - plainResponseMs,
       isRetryable: this.isRetryable,
-      demand: { promptTokens, answerTokens },
+      demand: { promptTokens, answerTokens: outputTokens },
       fairnessGroups: size === undefined ? [route.name] : [route.name, size],
       eligibility: this.eligibility(this.tried),
       goalAt,
@@ -172,21 +173,21 @@
     return { homeRegions: [route.homeRegions, workspace?.homeRegions ?? []], tried };
   }
 
-  /** Whether the caller has waited before: it has clearly less time left than its route allows. */
+  /** Whether the caller retries after a refusal: it has clearly less time left than its route allows. */
   private isCallerRetry(): boolean {
     const { head, route } = this.exchange;
     return (head.timeLeftMs ?? Infinity) < route.timeoutMs * callerRetryShare;
   }
 
-  /** Time by which the first event, or the next one of a stream that goes on, is of full use. */
+  /** Returns the time by which the first event, or the next one of a resumed stream, should arrive. */
   private getGoalAt(): number {
     const { route, arrivedAt } = this.exchange;
-    const { retryingSince: resumedAt } = this;
+    const { retryingSince } = this;
     const firstGoalAt = arrivedAt + route.goalMs;
-    if (resumedAt === undefined) return firstGoalAt;
+    if (retryingSince === undefined) return firstGoalAt;
     return Math.max(
       firstGoalAt,
-      resumedAt + (this.isMoving ? moveWaitMs : (route.pauseGoalMs ?? route.goalMs)),
+      retryingSince + (this.isMoving ? moveWaitMs : (route.pauseGoalMs ?? route.goalMs)),
     );
   }
 
@@ -198,7 +199,7 @@
   ): Attempt {
     const { exchange, services } = this;
     const { request, head, route, workspace, body, deadlineAt } = exchange;
-    const { codec, clock, directory, queue: line, onLoadChange: loadChanged } = services;
+    const { codec, clock, directory, queue, onLoadChange } = services;
     const headers = codec.encodeRequestHeaders(request.rawHeaders, {
       timeLeftMs: deadlineAt - clock.now(),
       endpointId: handle.id,
@@ -210,30 +211,30 @@
     });
     const { method = 'GET', url = '/' } = request;
     const callRequest = { method, path: url, id: head.id, headers, body };
-    const longestIdleMs = this.isRetryable ? Infinity : maxNonRetryableIdleMs;
-    const call = new EndpointCall(handle.pool, callRequest, longestIdleMs, codec, observer);
+    const maxIdleMs = this.isRetryable ? Infinity : maxNonRetryableIdleMs;
+    const call = new EndpointCall(handle.pool, callRequest, maxIdleMs, codec, observer);
     const readMs = handle.model?.readMs(head.promptTokens ?? 0) ?? 0;
-    let isRead = false;
-    let isOver = false;
-    const wasRead = (): void => {
-      if (isRead) return;
-      isRead = true;
+    let isPromptRead = false;
+    let hasEnded = false;
+    const markPromptRead = (): void => {
+      if (isPromptRead) return;
+      isPromptRead = true;
       handle.load.read(readMs);
-      loadChanged();
+      onLoadChange();
     };
-    const ended = (): void => {
-      if (isOver) return;
-      isOver = true;
-      wasRead();
+    const markEnded = (): void => {
+      if (hasEnded) return;
+      hasEnded = true;
+      markPromptRead();
       handle.load.end();
-      loadChanged();
-      line.dispatch(exchange.service, handle);
+      onLoadChange();
+      queue.dispatch(exchange.service, handle);
     };
     directory.recordSend(handle);
     this.sendCount += 1;
     handle.load.start(readMs);
-    loadChanged();
+    onLoadChange();
     call.start();
-    return { handle, call, markPromptRead: wasRead, markEnded: ended };
+    return { handle, call, markPromptRead, markEnded };
   }
 }
--- a/packages/forwarding/src/callerServer.ts
+++ b/packages/forwarding/src/callerServer.ts
@@ -20,24 +20,24 @@
 import { Refusal, RefusalReason, toDeadlineFailure } from './refusal.js';
 import { RequestCounter } from './requestCounts.js';
 
-/** Forwards requests of one way of repetition. */
+/** Forwards the requests of routes with one kind of retry semantics. */
 export interface RequestForwarder {
   forward(exchange: Exchange): Promise<void>;
 }
 
-/** What the age of the configuration in use allows now. */
-export interface ConfigurationFreshness {
-  /** Whether its keys may be honoured. */
+/** What the age of the current configuration permits. */
+export interface FreshnessChecks {
+  /** Whether keys of the configuration may still be accepted. */
   mayAcceptKeys(): boolean;
-  /** Whether a caller may be told that a route or key is not there. */
-  mayDeny(): boolean;
-  /** Age of the proof that it is the newest one, in milliseconds. */
+  /** Whether a caller may be told that a route or key does not exist. */
+  mayReportMissing(): boolean;
+  /** Time since the store confirmed that the configuration is the newest one, in milliseconds. */
   ageMs(): number;
 }
 
-/** Delay after which a caller comes back when this entry can't serve yet, in milliseconds. */
+/** Delay after which callers are asked to retry while this entry can't serve them, in milliseconds. */
 const retryDelayMs = 700;
-/** Idle time beyond the operators' limit after which a caller's connection is closed. */
+/** Time beyond the configured idle timeout after which connections are closed, in milliseconds. */
 const idleSlackMs = 5_000;
 const minIdleTimeoutMs = 60_000;
 
@@ -57,7 +57,7 @@
   return query < 0 ? url : url.slice(0, query);
 }
 
-/** Takes callers' requests, checks them and hands them to the forwarding of their route. */
+/** Receives callers' requests, authenticates them and passes them to the forwarder of their route. */
 export class CallerServer {
   private readonly server: Server;
 
@@ -65,14 +65,14 @@
 
   private isDraining = false;
 
-  /** Whether a connection is closed as soon as it carries no request. */
+  /** Whether each connection is closed as soon as it is idle. */
   private isClosing = false;
 
   private readonly counter: RequestCounter;
 
   constructor(
     private readonly state: FleetState,
-    private readonly freshness: ConfigurationFreshness,
+    private readonly freshness: FreshnessChecks,
     private readonly forwarders: Readonly<Record<Repetition, RequestForwarder>>,
     private readonly codec: HeaderCodec,
     private readonly clock: Clock,
@@ -88,12 +88,12 @@
     this.applyLimits();
   }
 
-  /** Requests that are being served. */
+  /** Number of requests that are being served. */
   get active(): number {
     return this.running;
   }
 
-  /** Listens on an address; rejects when that fails. */
+  /** Starts listening; rejects if the address can't be bound. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -101,7 +101,7 @@
     });
   }
 
-  /** Takes the limits of the newest configuration. */
+  /** Applies the limits of the newest configuration. */
   applyLimits(): void {
     const limits = this.state.routes?.configuration.limits;
     this.server.keepAliveTimeout = Math.max(
@@ -111,12 +111,12 @@
     this.server.headersTimeout = 0;
   }
 
-  /** From now on each answer asks the caller to close its connection. */
+  /** From now on, each response asks the caller to close its connection. */
   startDraining(): void {
     this.isDraining = true;
   }
 
-  /** Takes no more connections and closes each one that carries no request, now or later. */
+  /** Stops accepting connections and closes each existing one as soon as it is idle. */
   closeIdle(): void {
     this.isClosing = true;
     this.server.close();
@@ -128,11 +128,11 @@
     const arrivedAt = this.clock.now();
     if (this.isDraining) response.setHeader('connection', 'close');
     const head = this.codec.decodeRequestHead(request.headers);
-    const owner = new AbortController();
+    const controller = new AbortController();
     let route: Route | undefined;
     let timer: NodeJS.Timeout | undefined;
     response.once('close', () => {
-      if (!response.writableFinished) owner.abort(callerDisconnected);
+      if (!response.writableFinished) controller.abort(callerDisconnected);
     });
     response.once('finish', () => this.isClosing && request.socket.destroySoon());
     try {
@@ -143,13 +143,13 @@
       }
       route = this.findRoute(routes, request);
       const workspace = this.authenticate(routes, route, head);
-      const waitsMs = Math.min(head.timeLeftMs ?? route.timeoutMs, route.timeoutMs);
-      timer = setTimeout(() => owner.abort(deadlineExceeded), waitsMs);
+      const timeoutMs = Math.min(head.timeLeftMs ?? route.timeoutMs, route.timeoutMs);
+      timer = setTimeout(() => controller.abort(deadlineExceeded), timeoutMs);
       const body = await readBody(request, routes.configuration.limits.maxBodyBytes);
       const service = drawService(route, this.random);
-      if (service === undefined) throw new NotFound('The route leads to no service.');
-      const { signal } = owner;
-      const deadlineAt = arrivedAt + waitsMs;
+      if (service === undefined) throw new NotFound('The route has no service.');
+      const { signal } = controller;
+      const deadlineAt = arrivedAt + timeoutMs;
       const exchange = {
         request,
         response,
@@ -165,7 +165,7 @@
       await this.forwarders[route.repetition].forward(exchange);
       this.counter.countForwarded(exchange);
     } catch (error) {
-      this.handleFailure(request, response, head, route, owner.signal, error);
+      this.handleFailure(request, response, head, route, controller.signal, error);
     } finally {
       clearTimeout(timer);
       this.running -= 1;
@@ -176,14 +176,14 @@
   private findRoute(routes: RouteTable, { headers, url = '/' }: IncomingMessage): Route {
     const { host = '' } = headers;
     const route = routes.find(host.split(':')[0]!, getPath(url));
-    if (!route) throw this.toDenial(new NotFound('No route matches the host and path.'));
+    if (!route) throw this.toMissingFailure(new NotFound('No route matches the host and path.'));
     return route;
   }
 
-  /** The holder of the request's key; undefined where none is needed. */
+  /** Returns the workspace of the request's key; undefined if no key is required. */
   private authenticate(routes: RouteTable, route: Route, head: RequestHead): Workspace | undefined {
     if (route.isPublic || !routes.configuration.needsKeys) return undefined;
-    // A key that is known here may have been taken away, and an unknown one may have been added.
+    // A known key may have been revoked since, and an unknown one may have been added.
     if (!this.freshness.mayAcceptKeys()) {
       const ageMs = Math.round(this.freshness.ageMs());
       const message = `The proof of keys is ${ageMs} ms old.`;
@@ -191,13 +191,13 @@
     }
     if (head.key === undefined) throw new Unauthenticated('A key is required.');
     const workspace = routes.workspaceOf(head.key);
-    if (!workspace) throw this.toDenial(new Unauthenticated('The key is not known.'));
+    if (!workspace) throw this.toMissingFailure(new Unauthenticated('The key is unknown.'));
     return workspace;
   }
 
-  /** The failure for what is not there, unless it may have been added since the last look. */
-  private toDenial(failure: Failure): Failure {
-    if (this.freshness.mayDeny()) return failure;
+  /** Returns the failure for an unknown route or key, or a refusal if it may have been added since. */
+  private toMissingFailure(failure: Failure): Failure {
+    if (this.freshness.mayReportMissing()) return failure;
     const ageMs = Math.round(this.freshness.ageMs());
     const message = `${failure.message} The configuration is ${ageMs} ms old.`;
     return new Refusal(RefusalReason.oldConfiguration, message, retryDelayMs);
@@ -213,7 +213,7 @@
   ): void {
     if (signal.reason === callerDisconnected) {
       this.counter.countDisconnected(route);
-      this.log.info('Caller left.', { id });
+      this.log.info('Caller disconnected.', { id });
       return;
     }
     const failure =
@@ -238,7 +238,7 @@
       return;
     }
     const headers = retryAfterMs === undefined ? [] : this.codec.encodeRetryAfter(retryAfterMs);
-    // The rest of a body that was not read would be taken for the next request.
+    // The unread rest of the body would be parsed as the next request.
     if (!request.complete) headers.push('connection', 'close');
     response.writeHead(status, [...headers, 'content-length', '0']);
     response.end();
--- a/packages/forwarding/src/connectionPool.ts
+++ b/packages/forwarding/src/connectionPool.ts
@@ -13,20 +13,20 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Connections that are open or being opened. */
+  /** Number of connections that are open or being opened. */
   get size(): number {
     return this.open.size;
   }
 
-  /** Whether a request can be sent with at most `most` connections. */
-  hasCapacity(most: number): boolean {
-    return this.idle.length > 0 || this.open.size < most;
+  /** Whether a request can be sent without exceeding `maxConnections`. */
+  hasCapacity(maxConnections: number): boolean {
+    return this.idle.length > 0 || this.open.size < maxConnections;
   }
 
-  /** The connection that was used last, or a new one; idle for at most `longestIdleMs`. */
-  acquire(longestIdleMs: number): EndpointConnection {
+  /** Returns the most recently used connection if it was idle for at most `maxIdleMs`, or a new one. */
+  acquire(maxIdleMs: number): EndpointConnection {
     const connection = this.idle.pop();
-    if (connection && this.clock.now() - connection.idleSince <= longestIdleMs) return connection;
+    if (connection && this.clock.now() - connection.idleSince <= maxIdleMs) return connection;
     connection?.destroy();
     const fresh = new EndpointConnection(
       this.address,
@@ -37,14 +37,14 @@
     return fresh;
   }
 
-  /** A request on the connection has ended well. */
+  /** Returns a connection after a request on it has completed. */
   release(connection: EndpointConnection): void {
     if (!this.open.has(connection)) return;
     Object.assign(connection, { idleSince: this.clock.now() });
     this.idle.push(connection);
   }
 
-  /** Closes connections that carry no request: they may have gone silent, or the endpoint leaves. */
+  /** Closes idle connections, which may have died unnoticed or lead to an endpoint that is leaving. */
   closeIdle(): void {
     this.idle.splice(0).forEach((connection) => connection.destroy());
   }
--- a/packages/forwarding/src/dispatchLine.ts
+++ b/packages/forwarding/src/dispatchLine.ts
@@ -5,71 +5,71 @@
 import type { EndpointHandle } from './endpointHandle.js';
 import { Refusal, RefusalReason } from './refusal.js';
 
-/** A request that needs an endpoint. */
+/** A request for an endpoint. */
 export interface PlacementRequest extends WaitingRequest {
   readonly id: string;
   readonly service: string;
   readonly demand: Demand;
-  /** Groups of requests that are to be served equally often: its route and its size. */
+  /** Groups of requests that fairness is kept between: its route and its size class. */
   readonly fairnessGroups: readonly string[];
   readonly eligibility: Eligibility;
-  /** Whether it may run more than once. */
+  /** Whether it may be executed more than once. */
   readonly isRetryable: boolean;
-  /** Monotonic time until which its first event is of full use, in milliseconds. */
+  /** Monotonic time by which its first event should arrive, in milliseconds. */
   readonly goalAt: number;
-  /** Monotonic time of its final answer, in milliseconds. */
+  /** Monotonic time by which its response must be complete, in milliseconds. */
   readonly deadlineAt: number;
 }
 
-/** The endpoints among which requests are placed. */
+/** Provides the endpoints to which requests are dispatched. */
 export interface EndpointSource {
-  /** Endpoints of a service. */
+  /** Returns the endpoints of a service. */
   forService(service: string): readonly EndpointHandle[];
-  /** Those that may get a request now, of all or of some. */
+  /** Returns those of some endpoints, by default all of a service, that can get a request now. */
   available(
     service: string,
     eligibility: Eligibility,
     among?: readonly EndpointHandle[],
   ): EndpointHandle[];
-  /** Whether any could serve a request, if it had room. */
+  /** Whether any endpoint of a service could serve a request if it had free capacity. */
   canServe(service: string, eligibility: Eligibility): boolean;
 }
 
-/** A request for which endpoints are looked at. */
+/** A request for which an endpoint is sought. */
 interface Candidate extends PlacementRequest {
-  /** Endpoints that could have taken it at the last look at all of them; undefined before that. */
+  /** Number of available endpoints when all were last checked; undefined before that. */
   availableCount: number | undefined;
 }
 
-interface Pending extends Candidate {
+interface PendingRequest extends Candidate {
   readonly resolve: (placement: Placement<EndpointHandle>) => void;
   readonly reject: (error: unknown) => void;
 }
 
-/** Time between looks at waiting requests when nothing happens, in milliseconds. */
+/** Time between checks of queued requests without any other trigger, in milliseconds. */
 const recheckIntervalMs = 20;
-/** Time for the answer's way back, in milliseconds. */
+/** Time that the response needs to reach the caller, in milliseconds. */
 const responseTransitMs = 10;
-/** Longest wait of a request whose caller was refused before, in milliseconds. */
+/** Longest time in the queue of a request that its caller retries after a refusal, in milliseconds. */
 const maxCallerRetryWaitMs = 300;
 /**
- * Part of an endpoint's slots that requests past their goal leave free: under load each slot that they
- * take is one that a request within its goal would have had.
+ * Share of an endpoint's slots that is reserved for requests that can still meet their goal: under load,
+ * each slot that a late request takes is missing for one of them.
  */
 const reservedSlotShare = 0.2;
 /**
- * Part of the time to the goal that the estimate may fill: less for requests whose like are served more
- * often than others, so that short goals and large prompts are not crowded out.
+ * Share of the time to the goal that the estimated time may take. It is smaller for groups that were
+ * served more often than others, so that requests with short goals or large prompts are not starved.
  */
 const goalShare = { base: 0.75, min: 0.35, max: 1, perLead: 3 } as const;
-/** Time after which callers are told to come back, in milliseconds. */
+/** Delay after which refused callers are asked to retry, in milliseconds; `spread` adds jitter. */
 const retryDelayMs = { min: 900, spread: 700 } as const;
-/** Part of a caller's time left that it waits at most before it comes back. */
+/** Upper limit of that delay, as a share of the caller's remaining time. */
 const maxRetryDelayShare = 1 / 3;
 
-/** Lets requests wait for endpoints that can answer them in time, and refuses the others. */
+/** Queues requests until an endpoint can serve them in time, and refuses those that would be too late. */
 export class DispatchQueue {
-  private readonly queues = new Map<string, WaitingLine<Pending>>();
+  private readonly queues = new Map<string, WaitingLine<PendingRequest>>();
 
   private readonly shares = new Map<string, ServedShares>();
 
@@ -83,55 +83,55 @@
     private readonly log: Log,
   ) {}
 
-  /** Resolves with an endpoint; throws a `Refusal` when the request can't be served. */
+  /** Resolves with an endpoint; rejects with a `Refusal` if the request can't be served in time. */
   place(request: PlacementRequest, signal: AbortSignal): Promise<Placement<EndpointHandle>> {
     const now = this.clock.now();
-    const line = this.getQueue(request.service);
+    const queue = this.getQueue(request.service);
     if (!request.isReturned)
       this.getShares(request.service).countAsked(request.fairnessGroups, now);
     const candidate: Candidate = { ...request, availableCount: undefined };
-    const placement = line.length === 0 ? this.findPlacement(candidate, now) : undefined;
+    const placement = queue.length === 0 ? this.findPlacement(candidate, now) : undefined;
     if (placement) return Promise.resolve(this.recordPlacement(request, placement, now));
-    const startAt = now + line.expectedWaitMs(now);
+    const startAt = now + queue.expectedWaitMs(now);
     if (!this.mayWait(request, startAt)) return Promise.reject(this.createRefusal(candidate, now));
     return new Promise((resolve, reject) => {
-      const pending: Pending = { ...candidate, resolve, reject };
-      const leave = (): void => {
-        if (line.remove(pending)) reject(DispatchQueue.createAbortRefusal());
+      const queued: PendingRequest = { ...candidate, resolve, reject };
+      const abort = (): void => {
+        if (queue.remove(queued)) reject(DispatchQueue.createAbortRefusal());
       };
-      signal.addEventListener('abort', leave, { once: true });
-      line.add(pending);
+      signal.addEventListener('abort', abort, { once: true });
+      queue.add(queued);
       this.dispatch(request.service);
       this.scheduleRecheck();
     });
   }
 
   /**
-   * Looks at the waiting requests of a service after room may have come, at one endpoint or anywhere.
-   * Requests that wait had no room elsewhere, so only the endpoint that changed is asked.
+   * Dispatches queued requests of a service after capacity may have become free, at one endpoint or
+   * anywhere. Queued requests found none elsewhere, so only the endpoint that changed is checked.
    */
   dispatch(service: string, changed?: EndpointHandle): void {
-    const line = this.queues.get(service);
-    if (!line || line.length === 0) return;
+    const queue = this.queues.get(service);
+    if (!queue || queue.length === 0) return;
     const now = this.clock.now();
     const among = changed && [changed];
-    line.ordered(now).forEach((pending) => {
-      const placement = this.findPlacement(pending, now, among);
+    queue.ordered(now).forEach((queued) => {
+      const placement = this.findPlacement(queued, now, among);
       if (placement) {
-        line.remove(pending);
-        pending.resolve(this.recordPlacement(pending, placement, now));
-      } else if (!this.mayWait(pending, now)) {
-        line.remove(pending);
-        pending.reject(this.createRefusal(pending, now));
+        queue.remove(queued);
+        queued.resolve(this.recordPlacement(queued, placement, now));
+      } else if (!this.mayWait(queued, now)) {
+        queue.remove(queued);
+        queued.reject(this.createRefusal(queued, now));
       }
     });
   }
 
   dispatchAll(): void {
-    this.queues.forEach((_line, service) => this.dispatch(service));
+    this.queues.forEach((_queue, service) => this.dispatch(service));
   }
 
-  /** Number of requests that wait, by service. */
+  /** Number of queued requests by service. */
   get queueLengths(): ReadonlyMap<string, number> {
     return new Map([...this.queues].map(([service, { length }]) => [service, length]));
   }
@@ -153,24 +153,25 @@
   ): Placement<EndpointHandle> | undefined {
     const { service, eligibility, demand } = request;
     const targets = this.directory.available(service, eligibility, among);
-    if (!among) Object.assign(request, { usable: targets.length });
+    if (!among) Object.assign(request, { availableCount: targets.length });
     const best = bestPlacement(targets, demand, now, this.random);
     if (!best) return undefined;
-    const left = (request.goalAt - now - responseTransitMs) * this.getGoalShare(request, now);
-    if (!request.isReturned && best.expectedMs <= left) return best;
+    const availableMs =
+      (request.goalAt - now - responseTransitMs) * this.getGoalShare(request, now);
+    if (!request.isReturned && best.expectedMs <= availableMs) return best;
     const { load, slots } = best.target;
     const isLate = request.isReturned || now > request.startBy;
-    const open = slots - Math.ceil(slots * reservedSlotShare);
-    return isLate && load.occupied(now) < open ? best : undefined;
+    const unreservedSlots = slots - Math.ceil(slots * reservedSlotShare);
+    return isLate && load.occupied(now) < unreservedSlots ? best : undefined;
   }
 
-  private getGoalShare({ service, fairnessGroups: groups }: PlacementRequest, now: number): number {
-    const { base: usual, min: least, max: most, perLead } = goalShare;
-    const share = usual - this.getShares(service).lead(groups, now) * perLead;
-    return Math.min(most, Math.max(least, share));
+  private getGoalShare({ service, fairnessGroups }: PlacementRequest, now: number): number {
+    const { base, min, max, perLead } = goalShare;
+    const share = base - this.getShares(service).lead(fairnessGroups, now) * perLead;
+    return Math.min(max, Math.max(min, share));
   }
 
-  /** Whether a request that is sent at `startAt` is still of use. */
+  /** Whether a request that is sent at `startAt` can still be useful. */
   private mayWait(request: PlacementRequest, startAt: number): boolean {
     if (!this.directory.canServe(request.service, request.eligibility)) return false;
     if (request.isReturned) return startAt - request.arrivedAt < maxCallerRetryWaitMs;
@@ -203,16 +204,16 @@
   }
 
   private createRefusal(request: Candidate, now: number): Refusal {
-    const { id, service, isRetryable: isRepeatable } = request;
-    const left = Math.max(0, request.deadlineAt - now);
-    const wished = retryDelayMs.min + this.random.next() * retryDelayMs.spread;
-    const retryAfterMs = Math.min(wished, left * maxRetryDelayShare);
+    const { id, service, isRetryable } = request;
+    const remainingMs = Math.max(0, request.deadlineAt - now);
+    const delayMs = retryDelayMs.min + this.random.next() * retryDelayMs.spread;
+    const retryAfterMs = Math.min(delayMs, remainingMs * maxRetryDelayShare);
     this.log.info('Request refused.', {
       id,
       service,
       waitedMs: Math.round(now - request.arrivedAt),
       isReturned: request.isReturned,
-      isRepeatable,
+      isRepeatable: isRetryable,
       endpoints: this.directory.forService(service).length,
       usable:
         request.availableCount ?? this.directory.available(service, request.eligibility).length,
@@ -224,7 +225,7 @@
   }
 
   private static createAbortRefusal(): Refusal {
-    return new Refusal(RefusalReason.deadline, 'The request ended while it waited.', 0);
+    return new Refusal(RefusalReason.deadline, 'The request was aborted while it was queued.', 0);
   }
 
   private getShares(service: string): ServedShares {
@@ -236,12 +237,12 @@
     return shares;
   }
 
-  private getQueue(service: string): WaitingLine<Pending> {
-    let line = this.queues.get(service);
-    if (!line) {
-      line = new WaitingLine();
-      this.queues.set(service, line);
+  private getQueue(service: string): WaitingLine<PendingRequest> {
+    let queue = this.queues.get(service);
+    if (!queue) {
+      queue = new WaitingLine();
+      this.queues.set(service, queue);
     }
-    return line;
+    return queue;
   }
 }
--- a/packages/forwarding/src/endpointCall.ts
+++ b/packages/forwarding/src/endpointCall.ts
@@ -7,47 +7,47 @@
 import type { ResponseHead } from './heads.js';
 import type { HeaderCodec } from './headerCodec.js';
 
-/** How a call to an endpoint failed. */
+/** Why a call to an endpoint failed. */
 export const CallFault = {
-  /** No connection came to be; nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   connection: 'connection',
-  /** The connection ended, or its bytes were no answer, before the answer began. */
+  /** The connection ended, or sent something invalid, before the head of the response. */
   broken: 'broken',
-  /** The answer began and is not whole. */
+  /** The response started but is incomplete. */
   truncated: 'truncated',
-  /** The answer belongs to another request. */
+  /** The response is for another request. */
   crossed: 'crossed',
-  /** The endpoint sent nothing for too long, so this process ended the call. */
+  /** This process aborted the call because the endpoint sent nothing for too long. */
   silent: 'silent',
-  /** This process ended the call. */
+  /** This process aborted the call for another reason. */
   aborted: 'aborted',
 } as const;
 
 /** One of the values of {@link CallFault}. */
 export type CallFault = (typeof CallFault)[keyof typeof CallFault];
 
-/** What tells the end of an answer's body. */
+/** How the end of a response body is determined. */
 export const Framing = {
   length: 'length',
   chunks: 'chunks',
-  /** Neither: it ends with its connection. */
+  /** The body ends when the connection closes. */
   connection: 'connection',
 } as const;
 
 /** One of the values of {@link Framing}. */
 export type Framing = (typeof Framing)[keyof typeof Framing];
 
-/** What a call has seen of its answer, for logs. */
+/** Properties of a call's response, for logs. */
 export interface CallStats {
-  /** Undefined before the answer has begun. */
+  /** Undefined before the head of the response. */
   readonly framing: Framing | undefined;
-  /** Bytes of the body. */
+  /** Bytes of the body that were received. */
   readonly bytes: number;
-  /** Whether the connection has carried another request before. */
+  /** Whether the connection has carried a request before. */
   readonly isReused: boolean;
 }
 
-/** What a call tells its owner. After `ended` or `failed` it tells nothing more. */
+/** Callbacks of a call. `onEnd` or `onFailure` is the last one. */
 export interface CallObserver {
   onHead(status: number, head: ResponseHead, rawHeaders: readonly string[]): void;
   onData(bytes: Buffer): void;
@@ -55,12 +55,12 @@
   onFailure(fault: CallFault, reason: string): void;
 }
 
-/** A request as it is sent to an endpoint. */
+/** A request to send to an endpoint. */
 export interface CallRequest {
   readonly method: string;
   readonly path: string;
   readonly id: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer;
 }
@@ -83,7 +83,7 @@
   return raw.map((part) => (typeof part === 'string' ? part : part.toString('latin1')));
 }
 
-/** One request to an endpoint on one connection. */
+/** One request to an endpoint, on a connection of its own until it ends. */
 export class EndpointCall implements Dispatcher.DispatchHandler {
   private controller: Dispatcher.DispatchController | undefined;
 
@@ -95,7 +95,7 @@
 
   private hasEnded = false;
 
-  /** Whether the answer names its request. */
+  /** Whether the response states the id of its request. */
   private hasRequestId = false;
 
   private framing: Framing | undefined;
@@ -105,11 +105,11 @@
   constructor(
     private readonly pool: ConnectionPool,
     private readonly request: CallRequest,
-    longestIdleMs: number,
+    maxIdleMs: number,
     private readonly codec: HeaderCodec,
     private readonly observer: CallObserver,
   ) {
-    this.connection = pool.acquire(longestIdleMs);
+    this.connection = pool.acquire(maxIdleMs);
   }
 
   /** Whether any byte may have reached the endpoint. */
@@ -117,7 +117,7 @@
     return this.hasBeenSent;
   }
 
-  /** What has been seen of the answer so far. */
+  /** Properties of the response so far. */
   get stats(): CallStats {
     const { framing, bytes, connection } = this;
     return { framing, bytes, isReused: connection.isReused };
@@ -135,7 +135,7 @@
     this.connection.dispatch(options, this);
   }
 
-  /** Ends the call; the endpoint sees its connection close. */
+  /** Aborts the call; the endpoint sees its connection close. */
   abort(): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
@@ -165,12 +165,15 @@
     status: number,
     headers: IncomingHttpHeaders,
   ): void {
-    // Interim answers concern only one connection.
+    // Interim responses (1xx) are not forwarded.
     if (this.hasEnded || status < firstFinalStatus) return;
     this.controller = controller;
     const head = this.codec.decodeResponseHead(headers);
     if (!this.isOwnResponse(status, head)) {
-      this.fail(CallFault.crossed, `The answer is for ${head.requestId ?? 'no named request'}.`);
+      this.fail(
+        CallFault.crossed,
+        `The response is for ${head.requestId ?? 'an unknown request'}.`,
+      );
       return;
     }
     this.hasStarted = true;
@@ -180,9 +183,9 @@
   }
 
   /**
-   * Whether an answer is for this request. One without an id can be a late second answer to an earlier
-   * request, unless this is the connection's first. Refusals need not have one: a late second refusal
-   * after an answer with an id can't be told from this request's own.
+   * Whether a response is for this request. One without an id can be a late second response to an
+   * earlier request, unless this is the connection's first request. Refusals may lack an id: a late
+   * second refusal after a response with an id can't be told from a refusal of this request.
    */
   private isOwnResponse(status: number, head: ResponseHead): boolean {
     const { requestId } = head;
@@ -192,7 +195,7 @@
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    // The parser gives an empty chunk when a call resumes.
+    // The parser emits an empty chunk when a call is resumed.
     if (this.hasEnded || chunk.length === 0) return;
     this.bytes += chunk.length;
     this.observer.onData(chunk);
@@ -201,7 +204,7 @@
   onResponseEnd(): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
-    // A late second answer without an id could not be told from the next request's.
+    // A late second response without an id could not be told from the response to the next request.
     if (this.hasRequestId) this.pool.release(this.connection);
     else this.connection.destroy();
     this.observer.onEnd();
@@ -220,7 +223,7 @@
   }
 }
 
-/** Whether a status is a success. */
+/** Whether a status is successful (2xx). */
 export function isSuccess(status: number): boolean {
   return status >= 200 && status < firstRedirectStatus;
 }
--- a/packages/forwarding/src/endpointConnection.ts
+++ b/packages/forwarding/src/endpointConnection.ts
@@ -3,20 +3,20 @@
 import { Client } from 'undici';
 import type { Dispatcher } from 'undici';
 
-/** Longest time in which a connection is established, in milliseconds. */
+/** Timeout for establishing a connection, in milliseconds. */
 const connectTimeoutMs = 400;
-/** Time for which an idle connection is kept when the endpoint says nothing, in milliseconds. */
+/** Idle timeout of a connection when the endpoint does not state one, in milliseconds. */
 const defaultIdleTimeoutMs = 4_000;
-/** Part of the endpoint's own idle timeout that is not used, in milliseconds. */
+/** Margin that is subtracted from the idle timeout that the endpoint states, in milliseconds. */
 const idleMarginMs = 1_000;
 
-/** One connection to an endpoint, which serves one request at a time. */
+/** One connection to an endpoint, which carries one request at a time. */
 export class EndpointConnection {
   private readonly client: Client;
 
   private socket: Socket | undefined;
 
-  /** Requests that were sent on it. */
+  /** Number of requests that were sent on it. */
   private requestCount = 0;
 
   /** Monotonic time since when it has been idle, in milliseconds. */
@@ -24,7 +24,7 @@
 
   constructor(
     address: string,
-    /** Called at least once when the connection has ended. */
+    /** Called at least once when the connection has closed. */
     private readonly onClose: (connection: EndpointConnection) => void,
     onConnect: () => void,
   ) {
@@ -44,7 +44,7 @@
     this.client.on('connectionError', () => this.handleClose());
   }
 
-  /** Whether it has carried a request before, so that the endpoint may have closed it meanwhile. */
+  /** Whether it has carried a request before, so that the endpoint may have closed it since. */
   get isReused(): boolean {
     return this.requestCount > 1;
   }
@@ -54,9 +54,9 @@
     this.client.dispatch(options, handler);
   }
 
-  /** Ends the connection; a request on it fails, and what of it is still under way is not delivered. */
+  /** Resets the connection; a request on it fails, and data still in transit is not delivered. */
   destroy(): void {
-    // The client tells nothing of a connection that has not been established.
+    // The client emits no event for a connection that has not been established.
     this.onClose(this);
     if (this.socket?.connecting) this.socket.destroy();
     else this.socket?.resetAndDestroy();
--- a/packages/forwarding/src/endpointDirectory.ts
+++ b/packages/forwarding/src/endpointDirectory.ts
@@ -14,17 +14,18 @@
 import type { FleetState } from './fleetState.js';
 import type { EntryCounts } from './sharingEntries.js';
 
-/** What a request needs of an endpoint besides room. */
+/** What makes an endpoint eligible for a request, apart from free capacity. */
 export interface Eligibility {
-  /** Regions in which it may be served; empty for all. */
+  /** Lists of regions that may serve it; an empty list allows all. */
   readonly homeRegions: readonly (readonly string[])[];
+  /** Ids of endpoints that were tried before. */
   readonly tried: ReadonlySet<string>;
 }
 
-/** Part of an endpoint's connections that entries use together. */
+/** Share of an endpoint's connection limit that all entries together use. */
 const connectionShare = 0.9;
 
-/** The endpoints that this entry may use, by service. */
+/** The registered endpoints by id, address and service. */
 export class EndpointDirectory implements EndpointSource {
   private readonly handles = new Map<string, EndpointHandle>();
 
@@ -32,7 +33,7 @@
 
   private readonly byAddress = new Map<string, EndpointHandle>();
 
-  /** How endpoints behaved that are gone, by their ids: some come back and fall again. */
+  /** Health of endpoints that have left, by id: some come back and fail again. */
   private readonly formerHealth = new Map<string, EndpointHealth>();
 
   constructor(
@@ -41,7 +42,6 @@
     private readonly clock: Clock,
     private readonly metrics: Metrics,
     private readonly random: Random,
-    /** Entries that share the bounds of endpoints. */
     private readonly entryCounts: EntryCounts,
   ) {}
 
@@ -53,12 +53,12 @@
     return this.handles.get(id);
   }
 
-  /** The endpoint at an IP:PORT address. */
+  /** Returns the endpoint at an IP:PORT address. */
   findByAddress(address: string): EndpointHandle | undefined {
     return this.byAddress.get(address);
   }
 
-  /** Follows the state of the fleet after a change. */
+  /** Updates the endpoints after a change of the fleet state. */
   refresh(): void {
     const { endpoints, routes } = this.state;
     const services = routes?.configuration.services;
@@ -85,12 +85,12 @@
     });
   }
 
-  /** Endpoints of a service. */
+  /** Returns the endpoints of a service. */
   forService(service: string): readonly EndpointHandle[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** Endpoints, by default all of a service, that may get a request now. */
+  /** Returns those of some endpoints, by default all of a service, that can get a request now. */
   available(
     service: string,
     eligibility: Eligibility,
@@ -105,18 +105,18 @@
     );
   }
 
-  /** Whether an endpoint has not left; its last requests may still run. */
+  /** Whether an endpoint is still registered; requests may outlive its registration. */
   private isRegistered(handle: EndpointHandle): boolean {
     return this.handles.get(handle.id) === handle;
   }
 
-  /** Whether any endpoint of a service could serve a request, if it had room. */
+  /** Whether any endpoint of a service could serve a request if it had free capacity. */
   canServe(service: string, eligibility: Eligibility): boolean {
     const now = this.clock.now();
     return this.forService(service).some((handle) => this.isEligible(handle, eligibility, now));
   }
 
-  /** Why an endpoint gets no request now, or that it may get one. */
+  /** Returns whether an endpoint can get a request now, or the reason why not. */
   getState(handle: EndpointHandle): EndpointState {
     const now = this.clock.now();
     const { endpoint } = handle;
@@ -130,18 +130,18 @@
     return this.hasCapacity(handle, now) ? EndpointState.free : EndpointState.full;
   }
 
-  /** A request is about to be sent. */
+  /** Counts a request that is about to be sent against the rate limit of a cold start. */
   recordSend(handle: EndpointHandle): void {
     const now = this.clock.now();
     if (now < handle.coldUntil) handle.coldRate.take(this.getColdRateShare(handle), now);
   }
 
-  /** Entries that share the room of the endpoints of a region. */
+  /** Returns the entries that share the capacity of the endpoints of a region. */
   getCapacitySharers(region: string): RoomSharers {
     const { regions, region: own } = this.settings;
-    const isThere = (dataCentre: string): boolean => regions.get(dataCentre) === region;
+    const isInRegion = (dataCentre: string): boolean => regions.get(dataCentre) === region;
     const isNear = region === own;
-    const near = Math.max(isNear ? 1 : 0, this.state.countEntries(isThere));
+    const near = Math.max(isNear ? 1 : 0, this.state.countEntries(isInRegion));
     const far = Math.max(isNear ? 0 : 1, this.state.entryCount - near);
     return { near, far, isNear };
   }
@@ -175,7 +175,7 @@
     this.handles.set(endpoint.id, handle);
   }
 
-  /** How an endpoint behaved that is new here: one that was here before was started anew. */
+  /** Returns the health for a new endpoint; one that was registered before counts as restarted. */
   private restoreHealth(id: string): EndpointHealth {
     const health = this.formerHealth.get(id);
     if (!health) return new EndpointHealth();
@@ -215,7 +215,7 @@
     );
   }
 
-  /** Plain services need no weights; an engine must have all layers of a version still in use. */
+  /** Plain services need no weights; an engine must hold all layers of a version that is still in use. */
   private hasUsableWeights(handle: EndpointHandle, now: number): boolean {
     if (!handle.model) return true;
     const { version, profile } = handle;
@@ -229,7 +229,7 @@
     });
   }
 
-  /** Whether it has not failed or fallen silent lately. */
+  /** Whether an endpoint is neither ejected after failures nor silent. */
   private static isHealthy(handle: EndpointHandle, now: number): boolean {
     return handle.health.mayTry(handle.load.own, now) && !handle.isSilent(now);
   }
@@ -238,18 +238,18 @@
     if (!EndpointDirectory.isHealthy(handle, now)) return false;
     const entries = this.entryCounts.forConnections;
     const { profile, pool, coldRate, coldUntil } = handle;
-    const most = Math.max(
+    const maxConnections = Math.max(
       1,
       Math.floor(((profile?.maxConnections ?? 0) * connectionShare) / entries),
     );
-    if (!pool.hasCapacity(most)) return false;
+    if (!pool.hasCapacity(maxConnections)) return false;
     if (handle.model && !handle.load.hasRoom({ ...engineQueueLimits, slots: handle.slots }, now))
       return false;
     if (now >= coldUntil || !profile || profile.coldPerSecond <= 0) return true;
     return coldRate.fits(this.getColdRateShare(handle), now);
   }
 
-  /** Requests a second that this entry may send to an endpoint while it is cold. */
+  /** Returns the requests per second that this entry may send to an endpoint during its cold start. */
   private getColdRateShare({ profile }: EndpointHandle): number {
     return (profile?.coldPerSecond ?? 0) / this.entryCounts.forColdEndpoints;
   }
--- a/packages/forwarding/src/endpointHandle.ts
+++ b/packages/forwarding/src/endpointHandle.ts
@@ -9,22 +9,23 @@
 import type { PlacementTarget, ReportedLoad, RoomSharers } from '@laburnumstream/decisions';
 import { ConnectionPool } from './connectionPool.js';
 
-/** A stream that can go on at another endpoint. */
+/** A stream that can be resumed at another endpoint. */
 export interface MovableStream {
-  /** Whether its first event has come. */
+  /** Whether its first event has arrived. */
   readonly hasEvents: boolean;
+  /** Requests that the stream be resumed at another endpoint. */
   readonly move: () => void;
 }
 
-/** Time without any event on any stream after which an endpoint counts as silent, in milliseconds. */
+/** Time without an event on any stream after which an endpoint counts as silent, in milliseconds. */
 const silenceTimeoutMs = 500;
-/** Requests at once to a plain service that does not say how many it runs. */
+/** Concurrent requests to a plain service that does not state how many it runs. */
 const defaultSlots = 8;
 
-/** What may wait at an engine: a request for the next free slot, and prompts to be read. */
+/** Limits of an engine's queue: requests beyond its slots, and the time to process waiting prompts. */
 export const engineQueueLimits = { spare: 1, unreadMs: 200 } as const;
 
-/** An endpoint as this entry uses it: its connections, its load and how it behaves. */
+/** This entry's view of an endpoint: its connections, load and health. */
 export class EndpointHandle implements PlacementTarget {
   readonly pool: ConnectionPool;
 
@@ -32,25 +33,25 @@
 
   readonly coldRate: SharedRate;
 
-  /** Streams of this entry that it is giving. */
+  /** Streams that this entry has open at the endpoint. */
   private readonly streams = new Set<MovableStream>();
 
-  /** Monotonic time since when no stream has shown an event, in milliseconds. */
+  /** Monotonic time of the last event, or of the first open stream's start, in milliseconds. */
   private lastActivityAt = 0;
 
-  /** Monotonic time until which it is cold, in milliseconds. */
+  /** Monotonic time at which its cold start ends, in milliseconds. */
   coldUntil = 0;
 
-  /** Whole version as the process beside it last said, 0 for none; undefined while it says nothing. */
+  /** Complete version that its agent last reported, 0 for none; undefined before the first report. */
   reportedVersion: number | undefined;
 
-  /** Whether the process beside it is about to load other weights. */
+  /** Whether its agent is about to load another version of the weights. */
   isSwitching = false;
 
-  /** Monotonic time at which it is to leave its weights, in milliseconds; undefined when it is not. */
+  /** Monotonic time at which it will unload its weights, in milliseconds; undefined when not planned. */
   switchAt: number | undefined;
 
-  /** Whether it answers the process beside it, as far as that said. */
+  /** Whether the endpoint responds to its agent, according to the last report. */
   isAnswering = true;
 
   model: EngineModel | undefined;
@@ -62,9 +63,9 @@
     readonly region: string,
     clock: Clock,
     metrics: Metrics,
-    /** Other entries that send to it as this one does. */
+    /** Number of other entries that send requests to it. */
     peers: () => number,
-    /** Offset of this entry's sends while the endpoint is cold, from 0 to 1. */
+    /** Phase of this entry's sends during a cold start, from 0 to 1. */
     phase: number,
     readonly health = new EndpointHealth(),
   ) {
@@ -82,15 +83,15 @@
     return this.endpoint.slots || defaultSlots;
   }
 
-  /** Version of the weights whose every layer it holds; undefined when there is none. */
+  /** Version of the weights of which it holds all layers; undefined when there is none. */
   get version(): number | undefined {
     if (this.reportedVersion !== undefined) return this.reportedVersion || undefined;
     const { layers } = this.endpoint;
-    const isWhole = layers?.from === 0 && layers.to === this.profile?.engine?.layers;
-    return isWhole ? layers.version : undefined;
+    const isComplete = layers?.from === 0 && layers.to === this.profile?.engine?.layers;
+    return isComplete ? layers.version : undefined;
   }
 
-  /** A stream has been sent there. */
+  /** Adds a stream that was sent to the endpoint. */
   addStream(stream: MovableStream, now: number): void {
     if (this.streams.size === 0) this.lastActivityAt = now;
     this.streams.add(stream);
@@ -100,21 +101,21 @@
     this.streams.delete(stream);
   }
 
-  /** A stream has shown an event. */
+  /** Records that a stream has delivered an event. */
   recordEvent(now: number): void {
     this.lastActivityAt = now;
   }
 
-  /** Whether it has streams to give and gives nothing. */
+  /** Whether it has open streams but has sent no event for too long. */
   isSilent(now: number): boolean {
     return this.streams.size > 0 && now - this.lastActivityAt > silenceTimeoutMs;
   }
 
-  /** The agent beside the engine told its load; entries of some regions share the room. */
+  /** Applies a load report of the engine's agent; `sharers` are the entries that share its capacity. */
   applyLoadReport(load: ReportedLoad, sharers: RoomSharers, random: Random, now: number): void {
     const free = this.slots + engineQueueLimits.spare - load.running - load.waiting;
-    const room = Math.min(free, this.model?.promptsFor(engineQueueLimits.unreadMs) ?? free);
-    this.load.report(load, this.load.own, roomShareOf(room, sharers, random), now);
+    const capacity = Math.min(free, this.model?.promptsFor(engineQueueLimits.unreadMs) ?? free);
+    this.load.report(load, this.load.own, roomShareOf(capacity, sharers, random), now);
   }
 
   updateProfile(profile: ServiceProfile | undefined): void {
@@ -124,14 +125,14 @@
   }
 
   /**
-   * Asks its streams to go on elsewhere: those that have not begun at once, the others when they
-   * still run after a while.
+   * Moves its streams to other endpoints: those without an event immediately, the others if they
+   * are still running after `graceMs`.
    */
-  moveStreams(afterMs: number): void {
+  moveStreams(graceMs: number): void {
     const streams = [...this.streams];
     streams.filter(({ hasEvents }) => !hasEvents).forEach((stream) => stream.move());
     const moveRest = (): void =>
       streams.filter((stream) => this.streams.has(stream)).forEach((stream) => stream.move());
-    setTimeout(moveRest, afterMs);
+    setTimeout(moveRest, graceMs);
   }
 }
--- a/packages/forwarding/src/endpointState.ts
+++ b/packages/forwarding/src/endpointState.ts
@@ -1,20 +1,21 @@
-/** Why an endpoint gets no request now, or that it may get one. */
+/** Whether an endpoint can get a request now, and the reason if it cannot. */
 export const EndpointState = {
-  /** It may get a request. */
+  /** It can get a request. */
   free: 'free',
-  /** It has as many requests as it bears, or all of its connections are in use. */
+  /** It has reached its limit of requests or connections. */
   full: 'full',
-  /** It failed or fell silent, and is left alone for a while. */
+  /** It is ejected for a while after failures or silence. */
   resting: 'resting',
-  /** It has no whole version of the weights. */
+  /** It has no complete version of the weights. */
   empty: 'empty',
   /** Its version of the weights may no longer be used. */
   outdated: 'outdated',
+  /** It is about to load another version of the weights. */
   switching: 'switching',
-  /** The agent beside it has no answer from it. */
+  /** Its agent gets no response from it. */
   silent: 'silent',
   draining: 'draining',
-  /** Its data centre is evacuated. */
+  /** Its data centre is being evacuated. */
   evacuated: 'evacuated',
 } as const;
 
--- a/packages/forwarding/src/entryGauges.ts
+++ b/packages/forwarding/src/entryGauges.ts
@@ -1,19 +1,19 @@
 import type { Clock, Gauge } from '@laburnumstream/common';
 import type { SharedRetryBudget } from '@laburnumstream/decisions';
-import type { CallerServer, ConfigurationFreshness } from './callerServer.js';
+import type { CallerServer, FreshnessChecks } from './callerServer.js';
 import type { DispatchQueue } from './dispatchLine.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import type { FleetState } from './fleetState.js';
 
-/** The parts of an entry whose state is shown. */
+/** The parts of an entry whose state is exported. */
 export interface EntryParts {
   readonly state: FleetState;
   readonly directory: EndpointDirectory;
   readonly queue: DispatchQueue;
   readonly budget: SharedRetryBudget;
   readonly callers: CallerServer;
-  readonly freshness: ConfigurationFreshness;
+  readonly freshness: FreshnessChecks;
   readonly clock: Clock;
 }
 
@@ -33,23 +33,23 @@
   ]);
 }
 
-/** What an entry believes and has in hand at the moment, as gauges. */
+/** Returns gauges of an entry's current requests, configuration, endpoints and retry budgets. */
 export function entryGauges(parts: EntryParts): Gauge[] {
-  const { state, directory, queue: line, budget, callers, freshness: checks, clock } = parts;
+  const { state, directory, queue, budget, callers, freshness, clock } = parts;
   const endpoints = [...directory.all].flatMap((handle) => endpointGauges(handle, directory));
   const versions = [...state.newestVersions].map(([model, value]) => ({
     name: 'version_named',
     value,
     labels: { model },
   }));
-  const waiting = [...line.queueLengths].map(([service, value]) => ({
+  const waiting = [...queue.queueLengths].map(([service, value]) => ({
     name: 'requests_waiting',
     value,
     labels: { service },
   }));
   return [
     { name: 'requests_running', value: callers.active },
-    { name: 'configuration_proof_age_ms', value: Math.round(checks.ageMs()) },
+    { name: 'configuration_proof_age_ms', value: Math.round(freshness.ageMs()) },
     ...waiting,
     ...endpoints,
     ...versions,
--- a/packages/forwarding/src/entryRegistration.ts
+++ b/packages/forwarding/src/entryRegistration.ts
@@ -2,12 +2,12 @@
 import type { Clock, KeyValueStore, Log, Metrics } from '@laburnumstream/common';
 import { StoreCall, StoreCallCounter } from './storeCallCounts.js';
 
-/** Renewals in the length of a lease. */
+/** Renewals per lease duration. */
 const renewalsPerLease = 3;
-/** Delay before a failed call is tried again, in milliseconds. */
+/** Delay before a failed call is retried, in milliseconds. */
 const retryDelayMs = 1_000;
 
-/** Keeps this entry registered in the store, so that the others know how many share bounds. */
+/** Keeps this entry registered in the store, so that entries know how many share fleet-wide limits. */
 export class EntryRegistration {
   private lease: string | undefined;
 
@@ -25,26 +25,28 @@
     this.callCounter = new StoreCallCounter(metrics);
   }
 
-  /** Keeps the registration until the signal fires. */
+  /** Maintains the registration until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const pauseMs = await this.renew(signal);
-      await this.clock.sleep(pauseMs, signal).catch(() => undefined);
+      const delayMs = await this.renew(signal);
+      await this.clock.sleep(delayMs, signal).catch(() => undefined);
     }
   }
 
-  /** Ends the registration: this entry takes no more requests. */
+  /** Removes the registration when this entry stops taking requests. */
   async withdraw(): Promise<void> {
     const { lease } = this;
     this.lease = undefined;
     try {
       if (lease) await this.store.revokeLease(lease);
     } catch (error) {
-      this.log.info('Registration not ended; its lease will.', { type: toFailure(error).type });
+      this.log.info('Registration not removed; its lease will expire.', {
+        type: toFailure(error).type,
+      });
     }
   }
 
-  /** Renews the lease, or registers anew; returns the time until the next turn. */
+  /** Renews the lease, or registers again; returns the delay until the next call, in milliseconds. */
   private async renew(signal: AbortSignal): Promise<number> {
     try {
       if (this.lease) await this.store.renewLease(this.lease, signal);
--- a/packages/forwarding/src/eventDelivery.ts
+++ b/packages/forwarding/src/eventDelivery.ts
@@ -3,7 +3,7 @@
 import type { Exchange } from './exchange.js';
 import type { HeaderCodec } from './headerCodec.js';
 
-/** What a caller has received of one stream, over all attempts. */
+/** Delivers one stream to its caller, across all attempts. */
 export class EventDelivery {
   private hasWrittenHead = false;
 
@@ -14,7 +14,7 @@
   /** Time until the first event, in milliseconds; undefined before it. */
   firstEventMs: number | undefined;
 
-  /** Longest pause between two events, in milliseconds. */
+  /** Longest gap between two deliveries of events, in milliseconds. */
   maxGapMs = 0;
 
   constructor(
@@ -29,27 +29,27 @@
     return this.hasWrittenHead;
   }
 
-  /** The event after which another attempt has to go on. */
+  /** Id of the last delivered event, after which another attempt resumes. */
   get lastEventId(): number | undefined {
     return this.lastId;
   }
 
-  /** Sends whole events on, with the head of the first attempt; returns whether there is room. */
+  /** Writes complete events, after the head of the first attempt; returns false on backpressure. */
   send(status: number, rawHeaders: readonly string[], events: readonly StreamEvent[]): boolean {
     const { response } = this.exchange;
     this.writeHead(status, rawHeaders);
     this.recordGap();
-    let hasRoom = true;
+    let isWritable = true;
     events.forEach(({ id, bytes }) => {
-      // An endpoint that goes on may begin with events that the caller has.
+      // An endpoint that resumes a stream may repeat events that the caller already has.
       if (id !== undefined && this.lastId !== undefined && id <= this.lastId) return;
       this.lastId = id ?? this.lastId;
-      hasRoom = response.write(bytes);
+      isWritable = response.write(bytes);
     });
-    return hasRoom;
+    return isWritable;
   }
 
-  /** The stream is whole. */
+  /** Ends the response after the last event; `rest` are bytes after it. */
   finish(status: number, rawHeaders: readonly string[], rest: Buffer): void {
     this.writeHead(status, rawHeaders);
     if (rest.length > 0) this.exchange.response.write(rest);
--- a/packages/forwarding/src/eventRelay.ts
+++ b/packages/forwarding/src/eventRelay.ts
@@ -8,11 +8,13 @@
 import type { Exchange } from './exchange.js';
 import type { ResponseHead } from './heads.js';
 
-/** How an attempt to stream ended. */
+/** Outcome of one attempt at a stream. */
 export type StreamOutcome =
-  | { readonly kind: 'whole' }
+  /** The stream ended and was delivered completely. */
+  | { readonly kind: 'complete' }
+  /** The endpoint sent a response that is not a stream. */
   | {
-      readonly kind: 'answer';
+      readonly kind: 'response';
       readonly status: number;
       readonly head: ResponseHead;
       readonly rawHeaders: readonly string[];
@@ -20,19 +22,19 @@
     }
   | { readonly kind: 'fault'; readonly fault: CallFault; readonly reason: string };
 
-/** Longest time until the first event of an attempt, in milliseconds. */
+/** Timeout for the first event of an attempt, in milliseconds. */
 const firstEventTimeoutMs = 900;
-/** Longest pause between two events of an attempt, in milliseconds. */
+/** Timeout between two events of an attempt, in milliseconds. */
 const eventTimeoutMs = 700;
 
 /** Relays the events of one attempt to the caller. */
 export class EventRelay implements CallObserver, MovableStream {
   readonly outcome: Promise<StreamOutcome>;
 
-  /** Resolves when the stream should go on elsewhere. */
+  /** Resolves when a move of the stream to another endpoint is requested. */
   readonly moveRequested: Promise<void>;
 
-  /** Asks for the stream to go on elsewhere. */
+  /** Requests that the stream be resumed at another endpoint. */
   readonly move: () => void;
 
   hasEvents = false;
@@ -59,7 +61,7 @@
     private readonly exchange: Exchange,
     private readonly delivery: EventDelivery,
     private readonly clock: Clock,
-    /** Whether the stream could go on elsewhere: else its endpoint's silence ends nothing. */
+    /** Whether the stream could be resumed elsewhere; otherwise its timeouts are not enforced. */
     private readonly couldResume: () => boolean,
   ) {
     this.outcome = new Promise((resolve) => {
@@ -77,7 +79,7 @@
     return this.attempt?.call.wasSent ?? false;
   }
 
-  /** The request has been sent. */
+  /** Attaches the attempt with which the request has been sent. */
   attach(attempt: Attempt): void {
     this.attempt = attempt;
     attempt.handle.addStream(this, this.clock.now());
@@ -116,12 +118,12 @@
     }
     if (this.isStream) {
       this.delivery.finish(this.status, this.rawHeaders, this.splitter.partial);
-      this.settle({ kind: 'whole' });
+      this.settle({ kind: 'complete' });
       return;
     }
     const { status, rawHeaders } = this;
     const body = Buffer.concat(this.chunks);
-    this.settle({ kind: 'answer', status, head: this.head!, rawHeaders, body });
+    this.settle({ kind: 'response', status, head: this.head!, rawHeaders, body });
   }
 
   onFailure(fault: CallFault, reason: string): void {
@@ -129,20 +131,20 @@
     this.settle({ kind: 'fault', fault, reason });
   }
 
-  /** Ends the attempt from this side. */
+  /** Aborts the attempt. */
   abort(): void {
     this.detach();
     this.attempt?.call.abort();
     this.attempt?.markEnded();
-    this.settle({ kind: 'fault', fault: CallFault.aborted, reason: 'ended by its owner' });
+    this.settle({ kind: 'fault', fault: CallFault.aborted, reason: 'aborted' });
   }
 
-  /** A stream that only its connection ended is not whole within an event, or before the first one. */
+  /** A stream framed only by its connection is truncated if it ended within an event or without any. */
   private get isTruncated(): boolean {
     const { framing } = this.attempt?.call.stats ?? {};
     if (framing !== Framing.connection) return false;
-    const hasBegun = this.hasEvents || this.delivery.lastEventId !== undefined;
-    return !hasBegun || this.splitter.partial.length > 0;
+    const hasStarted = this.hasEvents || this.delivery.lastEventId !== undefined;
+    return !hasStarted || this.splitter.partial.length > 0;
   }
 
   private detach(): void {
@@ -159,7 +161,7 @@
       }
       this.detach();
       this.attempt?.call.abort();
-      this.settle({ kind: 'fault', fault: CallFault.silent, reason: `silent for ${ms} ms` });
+      this.settle({ kind: 'fault', fault: CallFault.silent, reason: `no event for ${ms} ms` });
     }, ms);
   }
 }
--- a/packages/forwarding/src/eventStreams.ts
+++ b/packages/forwarding/src/eventStreams.ts
@@ -8,24 +8,24 @@
   return request.httpVersionMajor > 1 || request.httpVersionMinor >= 1;
 }
 
-/** Forwards streams of events, and lets those that may be resumed go on at another endpoint. */
+/** Forwards event streams; resumable ones are resumed at another endpoint after a fault. */
 export class StreamForwarder {
   constructor(private readonly services: AttemptServices) {}
 
-  /** Streams until the end; throws when the caller has received nothing or has left. */
+  /** Resolves when the stream has ended; rejects if nothing was delivered or the caller disconnected. */
   async forward(exchange: Exchange): Promise<void> {
-    // Without chunks a caller could not tell a stream that is cut from a whole one.
+    // Without chunked encoding the caller could not tell a truncated stream from a complete one.
     if (!supportsChunked(exchange)) throw new VersionUnsupported();
-    const run = new StreamSession(exchange, this.services);
+    const session = new StreamSession(exchange, this.services);
     try {
-      await run.run();
+      await session.run();
     } catch (error) {
-      if (!run.hasStarted || exchange.signal.reason === callerDisconnected) throw error;
-      // A stream that is cut must not look whole.
+      if (!session.hasStarted || exchange.signal.reason === callerDisconnected) throw error;
+      // A truncated stream must not look complete.
       this.services.metrics.count('streams_cut');
       this.services.log.warn('Stream cut.', {
         id: exchange.head.id,
-        lastEventId: run.lastEventId ?? null,
+        lastEventId: session.lastEventId ?? null,
         reason: String(error),
       });
       exchange.response.destroy();
--- a/packages/forwarding/src/fleetChange.ts
+++ b/packages/forwarding/src/fleetChange.ts
@@ -6,23 +6,23 @@
   StoreChange,
 } from '@laburnumstream/common';
 
-/** Something in the store that an entry acts on, decoded. */
+/** A decoded change in the store that entries act on. */
 export type FleetChange =
   | { readonly kind: 'configuration'; readonly configuration: FleetConfiguration }
   | { readonly kind: 'endpoint'; readonly id: string; readonly endpoint: Endpoint | undefined }
   | { readonly kind: 'evacuation'; readonly dataCentre: string; readonly isActive: boolean }
   | { readonly kind: 'version'; readonly named: NamedVersion }
-  /** Without a place when the entry is gone. */
+  /** `location` is undefined when the entry is no longer registered. */
   | { readonly kind: 'entry'; readonly name: string; readonly location: EntryPlace | undefined };
 
-/** Decodes what lies in the store. */
+/** Encodes and decodes the keys and values of the store. */
 export interface FleetCodec {
-  /** The prefix under which all of it lies. */
+  /** Prefix of all keys that entries watch. */
   readonly prefix: string;
   /** The key under which an entry registers itself. */
   entryKey(name: string): string;
-  /** What an entry registers of itself. */
-  encodeEntry(place: EntryPlace): string;
-  /** Undefined for what does not concern entries; throws `InvalidInput` for what cannot be read. */
+  /** Encodes the value that an entry registers. */
+  encodeEntry(location: EntryPlace): string;
+  /** Returns undefined for keys that do not concern entries; throws `InvalidInput` for invalid values. */
   decode(change: StoreChange): FleetChange | undefined;
 }
--- a/packages/forwarding/src/fleetFeed.ts
+++ b/packages/forwarding/src/fleetFeed.ts
@@ -5,24 +5,25 @@
 import type { FleetState } from './fleetState.js';
 import { StoreCall, StoreCallCounter } from './storeCallCounts.js';
 
-/** Longest wait of one watch; its end proves that nothing has changed, in milliseconds. */
+/** Timeout of a watch call, in milliseconds; its end proves that nothing has changed. */
 const watchTimeoutMs = 1_000;
-/** The same while endpoints may come back that seem to be gone, in milliseconds. */
-const holdWatchTimeoutMs = 250;
-/** The same while the store does not answer, in milliseconds. */
+/** The same while removals are deferred because registrations may return, in milliseconds. */
+const deferredWatchTimeoutMs = 250;
+/** The same while the store is unreachable, in milliseconds. */
 const probeWatchTimeoutMs = 50;
-/** Time before the store's return is noticed in which changes may have been made, in milliseconds. */
+/** Changes may have been made this long before the first response after an outage, in milliseconds. */
 const recoverySlackMs = 1_000;
-/** Time for which a new process uses older versions than the named ones, in milliseconds. */
+/** Time for which a new process still uses versions older than the named ones, in milliseconds. */
 const restartGraceMs = 2_500;
-/** Time within which the answer to a watch comes when there was nothing to wait for. */
+/** Response time of a watch call that did not have to wait for a change, in milliseconds. */
 const immediateResponseMs = 15;
 const initialBackoffMs = 100;
 const maxBackoffMs = 300;
 
-/** What a change says of a registration that lapses; without a key for other changes. */
+/** The registration that a change concerns; without a key for changes of other kinds. */
 interface Registration {
   readonly key?: string;
+  /** Whether the registration was removed. */
   readonly isGone?: boolean;
 }
 
@@ -36,27 +37,27 @@
   return {};
 }
 
-/** Is told of each call that the store answered, once its answer is taken. */
+/** Records how recently the store has confirmed the fleet state. */
 export interface FreshnessProof {
-  /** The store has answered a call that began at `calledAt`. */
+  /** Called after the response to a call that began at `calledAt` has been applied. */
   confirm(calledAt: number): void;
 }
 
-/** Keeps the state of the fleet up to date with the store, and proves how old it is. */
+/** Keeps the fleet state in sync with the store and records how recent it is. */
 export class FleetWatcher {
   private revision: number | undefined;
 
   private backoffMs = initialBackoffMs;
 
-  /** Monotonic time of the last answer, before the first one of the start, in milliseconds. */
+  /** Monotonic time of the last response, or of the start before the first one, in milliseconds. */
   private lastResponseAt: number;
 
-  /** Time before the last answer at which changes may have been made that it did not tell. */
+  /** Time before the last response in which unseen changes may have been made, in milliseconds. */
   private changeLookbackMs: number;
 
   private isReachable = true;
 
-  private readonly heldRemovals = new RemovalHold<FleetChange>();
+  private readonly deferredRemovals = new RemovalHold<FleetChange>();
 
   private readonly callCounter: StoreCallCounter;
 
@@ -69,16 +70,16 @@
     private readonly clock: Clock,
     private readonly metrics: Metrics,
     private readonly log: Log,
-    /** Time after a version's naming at which older ones are left, in milliseconds. */
+    /** Time after a version is named at which older ones must no longer be used, in milliseconds. */
     versionMs: number,
   ) {
     this.lastResponseAt = clock.now();
     this.callCounter = new StoreCallCounter(metrics);
-    // When versions in the first list were named is not known: they count as nearly due.
+    // It is unknown when the versions in the first snapshot were named, so they count as nearly due.
     this.changeLookbackMs = Math.max(0, versionMs - restartGraceMs);
   }
 
-  /** Follows the store until the signal fires. */
+  /** Watches the store until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const calledAt = this.proofClock.now();
@@ -98,10 +99,10 @@
     }
   }
 
-  /** How long the next watch waits: short while it is not known whether the store answers at all. */
+  /** Timeout of the next watch call; short while the store may be unreachable. */
   private get nextWatchTimeoutMs(): number {
     if (!this.isReachable) return probeWatchTimeoutMs;
-    return this.heldRemovals.isWaiting ? holdWatchTimeoutMs : watchTimeoutMs;
+    return this.deferredRemovals.isWaiting ? deferredWatchTimeoutMs : watchTimeoutMs;
   }
 
   private async loadSnapshot(signal: AbortSignal): Promise<void> {
@@ -119,7 +120,7 @@
     const calledAt = this.clock.now();
     const { changes, revision } = await this.store.changes(prefix, after, waitMs, signal);
     const now = this.clock.now();
-    // A change that was not waited for may have come at any time since the answer before.
+    // A change that was returned immediately may have been made at any time since the last response.
     const changedAt = now - calledAt > immediateResponseMs ? now : this.earliestChangeAt(now);
     this.recordResponse();
     this.applyAll(
@@ -132,8 +133,9 @@
   }
 
   /**
-   * Time before which what the store tells now was not known anywhere. While the store is away nobody
-   * learns of changes, so time to act on them counts from its return.
+   * Returns the earliest time at which changes in a response received at `now` may have become known
+   * to any entry. During an outage no entry learns of changes, so the time to act on them counts from
+   * its end.
    */
   private earliestChangeAt(now: number): number {
     const knownAt = this.isReachable
@@ -142,22 +144,22 @@
     return knownAt - this.changeLookbackMs;
   }
 
-  /** Notes that the store answers, before what it says is taken. */
+  /** Records a response of the store, before its changes are applied. */
   private recordResponse(): void {
     const now = this.clock.now();
-    if (!this.isReachable) this.heldRemovals.storeReturned(now - this.lastResponseAt, now);
+    if (!this.isReachable) this.deferredRemovals.storeReturned(now - this.lastResponseAt, now);
     this.lastResponseAt = now;
     this.changeLookbackMs = 0;
   }
 
   private applyAll(changes: readonly FleetChange[], changedAt: number): void {
-    this.state.applyBatch(() => changes.forEach((change) => this.applyOrHold(change, changedAt)));
+    this.state.applyBatch(() => changes.forEach((change) => this.applyOrDefer(change, changedAt)));
   }
 
-  private applyOrHold(change: FleetChange, changedAt: number): void {
+  private applyOrDefer(change: FleetChange, changedAt: number): void {
     const { key, isGone } = getRegistration(change);
-    if (key && !isGone) this.heldRemovals.release(key);
-    if (key && isGone && this.heldRemovals.hold(key, change, this.clock.now())) {
+    if (key && !isGone) this.deferredRemovals.release(key);
+    if (key && isGone && this.deferredRemovals.hold(key, change, this.clock.now())) {
       this.log.info('Not registered; it may come back.', { key });
       return;
     }
@@ -167,7 +169,7 @@
   private applyDueRemovals(): void {
     const now = this.clock.now();
     this.state.applyBatch(() =>
-      this.heldRemovals.due(now).forEach((change) => this.state.apply(change, now)),
+      this.deferredRemovals.due(now).forEach((change) => this.state.apply(change, now)),
     );
   }
 
@@ -178,7 +180,7 @@
     } catch (error) {
       if (!(error instanceof InvalidInput)) throw error;
       this.metrics.count('store_values_unreadable');
-      this.log.warn('Value not readable; it changes nothing.', {
+      this.log.warn('Invalid value in the store ignored.', {
         key: change.key,
         revision: change.revision,
         reason: error.message,
@@ -198,7 +200,7 @@
     const failure = toFailure(error);
     if (failure instanceof HistoryLost) {
       this.revision = undefined;
-      this.log.warn('The history is gone; reading everything.');
+      this.log.warn('Watch history lost; reloading the snapshot.');
       return;
     }
     if (this.isReachable) {
--- a/packages/forwarding/src/fleetState.ts
+++ b/packages/forwarding/src/fleetState.ts
@@ -2,7 +2,7 @@
 import { NamedVersions, RouteTable } from '@laburnumstream/decisions';
 import type { FleetChange } from './fleetChange.js';
 
-/** How one kind of change is taken. */
+/** How each kind of change is applied. */
 type Handlers = {
   readonly [Kind in FleetChange['kind']]: (
     state: FleetState,
@@ -23,7 +23,7 @@
   entry: (state, { name, location }) => state.setEntry(name, location),
 };
 
-/** What this entry knows of the fleet. Configurations and versions never go back. */
+/** This entry's view of the fleet. Configuration and weight versions never decrease. */
 export class FleetState {
   private routeTable: RouteTable | undefined;
 
@@ -31,25 +31,25 @@
 
   private readonly evacuated = new Set<string>();
 
-  /** Versions of each model that operators named. */
+  /** Versions of the weights that operators named, by model. */
   private readonly namedVersionsByModel = new Map<string, NamedVersions>();
 
-  /** Places of the registered entries by their names. */
+  /** Locations of the registered entries, by name. */
   private readonly locationsByEntry = new Map<string, EntryPlace>();
 
-  /** Number of the registered entries of each data centre. */
+  /** Number of registered entries, by data centre. */
   private readonly entriesByDataCentre = new Map<string, number>();
 
-  /** Number of changes of the registered entries. */
+  /** Number of changes to the registered entries. */
   private entryChanges = 0;
 
-  /** Whether several changes are being taken, and whether any of them has to be told. */
+  /** Set while a batch of changes is applied; `isChanged` tells whether `onChange` is due after it. */
   private batch: { isChanged: boolean } | undefined;
 
   constructor(
     private readonly metrics: Metrics,
     private readonly log: Log,
-    /** Called after each change that affects where requests go. */
+    /** Called after each change or batch that affects where requests can be sent. */
     private readonly onChange: () => void,
   ) {}
 
@@ -61,22 +61,22 @@
     return this.endpointsById;
   }
 
-  /** Number of entries that are registered. */
+  /** Number of registered entries. */
   get entryCount(): number {
     return this.locationsByEntry.size;
   }
 
-  /** Places of the registered entries by their names. */
+  /** Locations of the registered entries, by name. */
   get entryLocations(): ReadonlyMap<string, EntryPlace> {
     return this.locationsByEntry;
   }
 
-  /** Grows with each change of the registered entries. */
+  /** Increases with each change to the registered entries. */
   get entriesRevision(): number {
     return this.entryChanges;
   }
 
-  /** Number of entries that are registered in some data centres. */
+  /** Counts the registered entries of those data centres for which `isIncluded` returns true. */
   countEntries(isIncluded: (dataCentre: string) => boolean): number {
     let count = 0;
     this.entriesByDataCentre.forEach((entries, dataCentre) => {
@@ -89,23 +89,23 @@
     return this.evacuated.has(dataCentre);
   }
 
-  /** Versions of a model that operators named; undefined when there are none. */
+  /** Returns the versions of a model that operators named; undefined if there are none. */
   namedVersions(model: string): NamedVersions | undefined {
     return this.namedVersionsByModel.get(model);
   }
 
-  /** The newest named version of each model. */
+  /** Newest named version of each model. */
   get newestVersions(): ReadonlyMap<string, number> {
     return new Map([...this.namedVersionsByModel].map(([model, { newest }]) => [model, newest]));
   }
 
-  /** Takes a change that was made at `changedAt` or later, in monotonic milliseconds. */
+  /** Applies a change that was made at `changedAt` or later, in monotonic milliseconds. */
   apply(change: FleetChange, changedAt: number): void {
     const handler = handlers[change.kind] as Handler;
     handler(this, change, changedAt);
   }
 
-  /** Takes several changes; what follows from them is done once, after the last one. */
+  /** Applies several changes and calls `onChange` at most once, after the last one. */
   applyBatch(apply: () => void): void {
     const batch = { isChanged: false };
     this.batch = batch;
@@ -117,7 +117,7 @@
     }
   }
 
-  /** The removals of what a complete list of the store no longer has. */
+  /** Returns the removals of everything that a complete snapshot of the store no longer contains. */
   getRemovals(changes: readonly FleetChange[]): FleetChange[] {
     const ids = new Set<string>();
     const dataCentres = new Set<string>();
@@ -175,7 +175,9 @@
     if (isActive === this.evacuated.has(dataCentre)) return;
     if (isActive) this.evacuated.add(dataCentre);
     else this.evacuated.delete(dataCentre);
-    this.log.info(isActive ? 'Data centre evacuated.' : 'Data centre returned.', { dataCentre });
+    this.log.info(isActive ? 'Data centre evacuated.' : 'Data centre no longer evacuated.', {
+      dataCentre,
+    });
     this.notifyChange();
   }
 
@@ -188,12 +190,12 @@
     this.notifyChange();
   }
 
-  setEntry(name: string, place: EntryPlace | undefined): void {
+  setEntry(name: string, location: EntryPlace | undefined): void {
     const known = this.locationsByEntry.get(name);
     if (known) this.adjustEntryCount(known.dataCentre, -1);
-    if (place) this.adjustEntryCount(place.dataCentre, 1);
-    if (place === undefined) this.locationsByEntry.delete(name);
-    else this.locationsByEntry.set(name, place);
+    if (location) this.adjustEntryCount(location.dataCentre, 1);
+    if (location === undefined) this.locationsByEntry.delete(name);
+    else this.locationsByEntry.set(name, location);
     this.entryChanges += 1;
     this.metrics.gauge('entries', this.locationsByEntry.size);
   }
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -24,7 +24,7 @@
 import { AgentLinks } from './sidecarLinks.js';
 import { BufferedForwarder } from './wholeAnswers.js';
 
-/** What an entry needs from outside. */
+/** Dependencies of an entry. */
 export interface EntryDependencies {
   readonly settings: ForwarderSettings;
   readonly store: StoreFeed & KeyValueStore;
@@ -33,20 +33,20 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
-  /** A log for a part of the process. */
+  /** Returns the logger of a part of the process. */
   readonly log: (part: string) => Log;
 }
 
-/** Part of the time for removed keys that a proof may be old: the rest is for requests on their way. */
+/** Share of the key revocation bound that a proof may be old; the rest is for requests in flight. */
 const proofAgeShare = 0.92;
-/** Time beyond that for a new configuration after which nobody is told that a key is not there. */
-const denialSlackMs = 500;
-/** Time in which the balancer and callers notice that this process leaves, in milliseconds. */
+/** Time beyond the configuration bound up to which a key may be reported as unknown, in milliseconds. */
+const missingSlackMs = 500;
+/** Time in which the load balancer and callers notice that this process is draining, in milliseconds. */
 const drainNoticeMs = 3_000;
-/** Time after which an entry that is gone is no longer registered, in milliseconds. */
+/** Minimum duration of the registration's lease, in milliseconds. */
 const minLeaseMs = 9_000;
 const drainPollMs = 50;
-/** Time that is left for the end of a process that has to stop, in milliseconds. */
+/** Part of the shutdown bound that is reserved for the exit of the process, in milliseconds. */
 const shutdownMarginMs = 1_000;
 
 function parseAddress(address: string): { host: string; port: number } {
@@ -54,7 +54,7 @@
   return { host, port: Number(port) };
 }
 
-/** The entry on a platform with a store: forwards callers' requests straight to endpoints. */
+/** The entry for a platform with its own store: forwards callers' requests directly to endpoints. */
 export class ForwardingEntry {
   private readonly state: FleetState;
 
@@ -78,13 +78,13 @@
     const proofClock = new SleepAwareClock(clock);
     const proof = new ConfigurationProof(
       bounds.revocationMs * proofAgeShare,
-      bounds.configurationMs + denialSlackMs,
+      bounds.configurationMs + missingSlackMs,
     );
     this.state = new FleetState(metrics, log('fleet'), () => this.handleFleetChange());
-    const sharing = new EntryCounts(this.state, settings, clock);
+    const entryCounts = new EntryCounts(this.state, settings, clock);
     const confirm = (calledAt: number): void => {
       proof.confirm(calledAt);
-      sharing.update();
+      entryCounts.update();
     };
     this.watcher = new FleetWatcher(
       store,
@@ -97,7 +97,14 @@
       log('store'),
       bounds.versionMs,
     );
-    this.directory = new EndpointDirectory(settings, this.state, clock, metrics, random, sharing);
+    this.directory = new EndpointDirectory(
+      settings,
+      this.state,
+      clock,
+      metrics,
+      random,
+      entryCounts,
+    );
     this.queue = new DispatchQueue(this.directory, clock, random, metrics, log('line'));
     this.agents = new AgentLinks(
       settings,
@@ -126,7 +133,7 @@
     const services = {
       queue: this.queue,
       directory: this.directory,
-      budget: new SharedRetryBudget(bound, () => sharing.forRetries),
+      budget: new SharedRetryBudget(bound, () => entryCounts.forRetries),
       onLoadChange: () => this.agents.handleLoadChange(),
       codec: headerCodec,
       clock,
@@ -140,7 +147,7 @@
     };
     const freshness = {
       mayAcceptKeys: () => !bounds.refusesWithoutProof || proof.mayHonour(proofClock.now()),
-      mayDeny: () => proof.mayDeny(proofClock.now()),
+      mayReportMissing: () => proof.mayDeny(proofClock.now()),
       ageMs: () => proof.ageMs(proofClock.now()),
     };
     this.callers = new CallerServer(
@@ -159,7 +166,7 @@
     metrics.sample(() => entryGauges(parts));
   }
 
-  /** Starts serving; resolves when all servers listen. */
+  /** Starts serving; resolves when all servers are listening. */
   async start(signal: AbortSignal): Promise<void> {
     const { callers, readiness } = this.dependencies.settings;
     const ready = parseAddress(readiness);
@@ -171,7 +178,7 @@
     await this.callers.listen(host, port);
   }
 
-  /** Lets running requests end; resolves when there are none or the time is over. */
+  /** Drains running requests; resolves when none are left or the shutdown time is over. */
   async stop(): Promise<void> {
     const { clock, settings } = this.dependencies;
     this.isStopping = true;
--- a/packages/forwarding/src/headerCodec.ts
+++ b/packages/forwarding/src/headerCodec.ts
@@ -1,14 +1,14 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { ResponseHead, RequestHead, RequestMetadata } from './heads.js';
 
-/** Translates the headers of the platform. Raw headers are names and values in turn. */
+/** Encodes and decodes the platform's headers. Raw headers alternate names and values. */
 export interface HeaderCodec {
   decodeRequestHead(headers: IncomingHttpHeaders): RequestHead;
   decodeResponseHead(headers: IncomingHttpHeaders): ResponseHead;
-  /** The headers of a caller's request as they go on to an endpoint. */
-  encodeRequestHeaders(rawHeaders: readonly string[], terms: RequestMetadata): string[];
-  /** The headers of an endpoint's answer as they go on to the caller. */
+  /** Returns the raw headers with which a caller's request is forwarded to an endpoint. */
+  encodeRequestHeaders(rawHeaders: readonly string[], metadata: RequestMetadata): string[];
+  /** Returns the raw headers with which an endpoint's response is forwarded to the caller. */
   encodeResponseHeaders(rawHeaders: readonly string[]): string[];
-  /** The headers that tell a caller when to come back. */
-  encodeRetryAfter(afterMs: number): string[];
+  /** Returns the headers that ask a caller to retry after a delay. */
+  encodeRetryAfter(delayMs: number): string[];
 }
--- a/packages/forwarding/src/heads.ts
+++ b/packages/forwarding/src/heads.ts
@@ -1,12 +1,12 @@
-/** The head of a caller's request, decoded. */
+/** The decoded head of a caller's request. */
 export interface RequestHead {
-  /** Id of this attempt of the caller; a later one has another. */
+  /** Request id; a retry by the caller has a different one. */
   readonly id: string;
-  /** Time for which the caller waits, in milliseconds. */
+  /** Time until the caller gives up, in milliseconds. */
   readonly timeLeftMs: number | undefined;
-  /** Key of the caller's workspace. */
+  /** API key of the caller's workspace. */
   readonly key: string | undefined;
-  /** The last event that the caller has received of the stream that it wants to go on. */
+  /** Id of the last event that the caller has received of the stream to resume. */
   readonly lastEventId: number | undefined;
   readonly promptTokens: number | undefined;
   readonly maxOutputTokens: number | undefined;
@@ -14,22 +14,22 @@
   readonly expectedOutputTokens: number | undefined;
 }
 
-/** Load that an endpoint tells with an answer. */
+/** Load that an endpoint reports with a response. */
 export interface ResponseLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** The head of an endpoint's answer, decoded. */
+/** The decoded head of an endpoint's response. */
 export interface ResponseHead {
-  /** Id of the request that is answered; another one means that answers have crossed. */
+  /** Id of the request that the response is for; a different one means that responses were mixed up. */
   readonly requestId: string | undefined;
-  /** Whether the endpoint vouches for the answer. */
+  /** Whether the endpoint has signed the response. */
   readonly isSigned: boolean;
-  /** Whether the endpoint says that it did not run the request. */
+  /** Whether the endpoint states that it has not executed the request. */
   readonly wasNotRun: boolean;
-  /** Whether the body is encoded, so that it is not the endpoint's. */
+  /** Whether the body has a content encoding; endpoints never send one, so an intermediary changed it. */
   readonly isEncoded: boolean;
   readonly endpointId: string | undefined;
   readonly weightsVersion: number | undefined;
@@ -37,17 +37,17 @@
   readonly load: ResponseLoad | undefined;
 }
 
-/** What a request is sent to an endpoint with, besides the caller's own headers. */
+/** Values of the headers that are added to a caller's request when it is forwarded to an endpoint. */
 export interface RequestMetadata {
-  /** Time left for the answer, in milliseconds. */
+  /** Time until the deadline, in milliseconds. */
   readonly timeLeftMs: number;
   readonly endpointId: string;
-  /** Whether the caller's key is kept from the endpoint. */
+  /** Whether the caller's API key is removed before forwarding. */
   readonly stripsKey: boolean;
   readonly workspace: string | undefined;
   readonly lastEventId: number | undefined;
-  /** From 0, the most urgent, to 9. */
+  /** 0 is the most urgent, 9 the least. */
   readonly priority: number | undefined;
-  /** The only version of the weights on which the request may begin. */
+  /** The only version of the weights on which the request may start. */
   readonly weightsVersion: number | undefined;
 }
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,4 +1,4 @@
-/** Forwards callers' requests to endpoints, on a platform that keeps what must last in its store. */
+/** The entry for a platform with its own store: forwards callers' requests to endpoints. */
 export * from './answerCollector.js';
 export * from './connectionPool.js';
 export * from './dispatchLine.js';
--- a/packages/forwarding/src/loadSharing.ts
+++ b/packages/forwarding/src/loadSharing.ts
@@ -5,13 +5,13 @@
 import type { EndpointHandle } from './endpointHandle.js';
 import type { FleetState } from './fleetState.js';
 
-/** Time in which changes are collected for each group of peers that is told, in milliseconds. */
+/** Time in which changes are batched, for each group of peers, in milliseconds. */
 const batchMsPerGroup = 5;
 const peersPerGroup = 4;
 
 /**
- * Tells the other entries of the region what this one has at the region's engines, and learns what
- * they have there: reports of the engines are too old to keep entries from filling the same slots.
+ * Broadcasts this entry's load at the region's engines to the other entries of the region and receives
+ * theirs. Reports of the engines are too old to keep entries from filling the same slots.
  */
 export class LoadBroadcast {
   private timer: NodeJS.Timeout | undefined;
@@ -24,7 +24,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Tells soon, with the changes that come until then; the rate does not grow with the peers. */
+  /** Schedules a broadcast that batches further changes; the delay grows with the number of peers. */
   schedule(): void {
     if (this.timer) return;
     const groups = Math.max(1, Math.ceil(this.peers.length / peersPerGroup));
@@ -34,6 +34,7 @@
     }, batchMsPerGroup * groups);
   }
 
+  /** Sends this entry's load to all peers. */
   send(): void {
     const { peers } = this;
     if (peers.length === 0) return;
@@ -46,17 +47,17 @@
     this.datagrams.sendAll({ case: 'load', value: { shares } }, peers);
   }
 
-  /** Another entry told its load. */
+  /** Applies the load that another entry has sent. */
   receive({ shares }: EntryLoad, sender: string): void {
     const now = this.clock.now();
-    const told = new Map(shares.map((share) => [share.address, share]));
+    const reported = new Map(shares.map((share) => [share.address, share]));
     this.engines.forEach(({ endpoint, load }) => {
-      const { requests = 0, unreadMs = 0 } = told.get(endpoint.address) ?? {};
+      const { requests = 0, unreadMs = 0 } = reported.get(endpoint.address) ?? {};
       load.hear(sender, { requests, unreadMs }, now);
     });
   }
 
-  /** Addresses of the other entries of this region. */
+  /** Hosts of the other entries of this region. */
   private get peers(): string[] {
     const { instance, region, regions } = this.settings;
     return [...this.state.entryLocations]
--- a/packages/forwarding/src/readiness.ts
+++ b/packages/forwarding/src/readiness.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http';
 
-/** Answers the balancer's question whether this process takes requests. */
+/** Serves the load balancer's readiness check: 200 while `isReady` returns true, 503 otherwise. */
 export function serveReadiness(
   host: string,
   port: number,
--- a/packages/forwarding/src/refusal.ts
+++ b/packages/forwarding/src/refusal.ts
@@ -1,25 +1,25 @@
 import { Execution, Timeout, Unavailable, toFailure } from '@laburnumstream/common';
 import type { Failure } from '@laburnumstream/common';
 
-/** Why a request was refused without having run. */
+/** Why a request was refused without having been executed. */
 export const RefusalReason = {
   noConfiguration: 'no_configuration',
-  /** The proof that its key was not taken away is too old. */
+  /** The store has not confirmed recently enough that the request's key is still valid. */
   oldProof: 'old_proof',
-  /** Its route or key is not known, and may have been added since. */
+  /** The route or key is unknown, but may have been added since the last update from the store. */
   oldConfiguration: 'old_configuration',
-  /** No endpoint can answer in time. */
+  /** No endpoint can respond in time. */
   overloaded: 'overloaded',
-  /** The endpoints that it was sent to refused it. */
+  /** All endpoints that were tried refused the request. */
   endpointsRefused: 'endpoints_refused',
-  /** Its deadline came while it waited. */
+  /** The deadline passed while the request was queued. */
   deadline: 'deadline',
 } as const;
 
 /** One of the values of {@link RefusalReason}. */
 export type RefusalReason = (typeof RefusalReason)[keyof typeof RefusalReason];
 
-/** A request was refused; it did not run. */
+/** A request was refused and has not been executed. */
 export class Refusal extends Unavailable {
   constructor(
     readonly reason: RefusalReason,
@@ -30,7 +30,7 @@
   }
 }
 
-/** The failure of a request whose deadline has passed. */
+/** Maps the error of a request whose deadline has passed to the failure that its caller gets. */
 export function toDeadlineFailure(error: unknown): Failure {
   const { execution } = toFailure(error);
   if (execution !== Execution.notRun) return new Timeout('The deadline has passed.');
--- a/packages/forwarding/src/requestCounts.ts
+++ b/packages/forwarding/src/requestCounts.ts
@@ -4,24 +4,24 @@
 import type { Exchange } from './exchange.js';
 import { Refusal } from './refusal.js';
 
-/** How a request ended for its caller. */
+/** Outcome of a request from its caller's point of view. */
 export const RequestOutcome = {
-  /** It got the whole answer of an endpoint. */
+  /** The caller got a complete response from an endpoint. */
   answered: 'answered',
-  /** It was not run, and its caller was told so. */
+  /** The request was not executed, and the caller was asked to retry. */
   refused: 'refused',
-  /** It may have run, or cannot be served. */
+  /** The request may have been executed, or cannot be served. */
   failed: 'failed',
-  /** It got a part of an answer. */
+  /** The caller got a truncated response. */
   cut: 'cut',
-  /** Its caller left before the end. */
+  /** The caller disconnected before the end. */
   left: 'left',
 } as const;
 
 /** One of the values of {@link RequestOutcome}. */
 export type RequestOutcome = (typeof RequestOutcome)[keyof typeof RequestOutcome];
 
-/** The reason of a request that ended as it began: by what its caller or its endpoint did. */
+/** Label of outcomes that need no reason. */
 const noReason = 'none';
 const noRoute = 'none';
 
@@ -29,7 +29,7 @@
 export class RequestCounter {
   constructor(private readonly metrics: Metrics) {}
 
-  /** The forwarding of a request has ended, with an answer or a part of one. */
+  /** Counts a request whose forwarding has ended, with a complete or a truncated response. */
   countForwarded({ route, response, signal }: Exchange): void {
     if (signal.reason === callerDisconnected) this.countDisconnected(route);
     else if (response.writableEnded) {
@@ -37,12 +37,12 @@
     } else this.count(route, RequestOutcome.cut, noReason);
   }
 
-  /** The caller left before the end. */
+  /** Counts a request whose caller disconnected before the end. */
   countDisconnected(route: Route | undefined): void {
     this.count(route, RequestOutcome.left, noReason);
   }
 
-  /** The caller was told of a failure. */
+  /** Counts a request that ended with a failure. */
   countFailed(route: Route | undefined, failure: Failure): void {
     const reason = failure instanceof Refusal ? failure.reason : failure.type;
     const isRefused = failure.execution === Execution.notRun && failure.retryAfterMs !== undefined;
--- a/packages/forwarding/src/sharingEntries.ts
+++ b/packages/forwarding/src/sharingEntries.ts
@@ -2,12 +2,12 @@
 import { EntryCount } from '@laburnumstream/decisions';
 import type { FleetState } from './fleetState.js';
 
-/** Entries that share bounds as long as it is not known how many there are. */
+/** Number of entries that is assumed while it is unknown. */
 const assumedEntries = 16;
-/** Window over which requests to a cold endpoint count, in milliseconds. */
+/** Window of the rate limit of a cold endpoint, in milliseconds. */
 const coldWindowMs = 1_000;
 
-/** How many entries share the bounds that all of them keep together. */
+/** Numbers of entries by which limits that apply to the whole fleet are divided. */
 export class EntryCounts {
   /** The name under which this entry registers. */
   private readonly instance: string;
@@ -22,31 +22,31 @@
     private readonly clock: Clock,
   ) {
     this.instance = instance;
-    // A process that starts anew may have used its share before, so it has none of its own at first.
+    // A restarted process may have used up its share before the restart, so it starts without one.
     const unknownCount = isFirstStart ? assumedEntries : Infinity;
     this.retrying = new EntryCount(unknownCount, bounds.retryWindowMs);
   }
 
-  /** The store has answered; the state holds what it told. */
+  /** Takes the number of registered entries from the state after a response of the store. */
   update(): void {
-    const { entryCount: entries, entryLocations: places } = this.state;
+    const { entryCount, entryLocations } = this.state;
     const now = this.clock.now();
-    const isIncluded = places.has(this.instance);
-    this.retrying.told(entries, isIncluded, now);
-    this.sendingToCold.told(entries, isIncluded, now);
+    const isIncluded = entryLocations.has(this.instance);
+    this.retrying.told(entryCount, isIncluded, now);
+    this.sendingToCold.told(entryCount, isIncluded, now);
   }
 
-  /** Entries that share endpoints' connections. */
+  /** Number of entries that share the connection limits of endpoints. */
   get forConnections(): number {
     return this.state.entryCount || assumedEntries;
   }
 
-  /** Entries that share the bound on repeats. */
+  /** Number of entries that share the retry budgets. */
   get forRetries(): number {
     return this.retrying.at(this.clock.now());
   }
 
-  /** Entries that share the rate of a cold endpoint. */
+  /** Number of entries that share the rate limit of a cold endpoint. */
   get forColdEndpoints(): number {
     return this.sendingToCold.at(this.clock.now());
   }
--- a/packages/forwarding/src/sidecarLinks.ts
+++ b/packages/forwarding/src/sidecarLinks.ts
@@ -8,29 +8,29 @@
 import type { FleetState } from './fleetState.js';
 import { LoadBroadcast } from './loadSharing.js';
 
-/** Time between two datagrams to each agent, in milliseconds. */
+/** Interval between two updates to each agent, in milliseconds. */
 const updateIntervalMs = 1_000;
-/** Entries of a region that tell an agent of weights each second, in its own region and in others. */
-const sendersPerAgent = { near: 4, far: 1 } as const;
-/** Time in which further changes are told with the first one, in milliseconds. */
+/** Entries of a region that send weight updates to an agent, in the agent's region and in each other one. */
+const notifiersPerAgent = { local: 4, remote: 1 } as const;
+/** Time in which changes are batched into one update, in milliseconds. */
 const changeBatchMs = 15;
-/** Time in which streams end by themselves at an engine that is about to load, in milliseconds. */
+/** Time that streams get to end at an engine that is about to load other weights, in milliseconds. */
 const moveGraceMs = 250;
 const permille = 1_000;
 const kilobit = 1_000;
 
 type WeightUpdate = NonNullable<Extract<DatagramContent, { case: 'fleet' }>['value']['weights']>;
 
-/** Tells the agents beside engines what they need to know, and takes their reports. */
+/** Sends updates to the agents of engines and receives their reports. */
 export class AgentLinks {
   private readonly datagrams: FleetDatagrams;
 
   private readonly loadBroadcast: LoadBroadcast;
 
-  private readonly senders: NewsTellers;
+  private readonly notifiers: NewsTellers;
 
-  /** Changes of the registered entries that the tellers are drawn from. */
-  private sendersRevision = -1;
+  /** Revision of the registered entries from which `notifiers` was built. */
+  private notifiersRevision = -1;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -42,7 +42,7 @@
     private readonly random: Random,
     metrics: Metrics,
     private readonly log: Log,
-    /** A report may have made room at an endpoint. */
+    /** Called after each report, which may have freed capacity at the endpoint. */
     private readonly onReport: (endpoint: EndpointHandle) => void,
   ) {
     const handlers: DatagramHandlers = {
@@ -50,7 +50,7 @@
       load: (load, { sender }) => this.loadBroadcast.receive(load, sender),
     };
     this.datagrams = new FleetDatagrams(settings.instance, handlers, clock, metrics, log);
-    this.senders = new NewsTellers(settings.instance);
+    this.notifiers = new NewsTellers(settings.instance);
     this.loadBroadcast = new LoadBroadcast(settings, state, directory, this.datagrams, clock);
   }
 
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Tells all agents soon, after a change that they have to know. */
+  /** Schedules an update to all agents after a change of the fleet. */
   scheduleUpdate(): void {
     this.timer ??= setTimeout(() => {
       this.timer = undefined;
@@ -71,21 +71,21 @@
     }, changeBatchMs);
   }
 
-  /** This entry's load at an endpoint has changed. */
+  /** Schedules a broadcast after this entry's load at an endpoint has changed. */
   handleLoadChange(): void {
     this.loadBroadcast.schedule();
   }
 
   private sendUpdates(isChange: boolean): void {
-    const news = new Map<string, WeightUpdate | undefined>();
-    this.refreshSenders();
+    const updates = new Map<string, WeightUpdate | undefined>();
+    this.refreshNotifiers();
     [...this.directory.all].forEach((handle) => {
       if (!handle.model) return;
       const { service, address } = handle.endpoint;
-      if (!news.has(service)) news.set(service, this.createWeightUpdate(handle));
-      const known = news.get(service);
-      const tells = known && this.shouldSendWeights(handle, known.namedMsAgo ?? 0, isChange);
-      const weights = tells ? known : undefined;
+      if (!updates.has(service)) updates.set(service, this.createWeightUpdate(handle));
+      const update = updates.get(service);
+      const isNotifier = update && this.shouldSendWeights(handle, update.namedMsAgo ?? 0, isChange);
+      const weights = isNotifier ? update : undefined;
       const reportEveryMs = this.getReportIntervalMs(handle);
       const value = weights ? { reportEveryMs, weights } : { reportEveryMs };
       this.datagrams.send({ case: 'fleet', value }, address.split(':')[0]!);
@@ -93,9 +93,9 @@
   }
 
   /**
-   * Whether this entry tells an agent of weights: of a change all entries of the agent's region do, at
-   * other times a few. Agents of other regions hear of a new version from one entry of each region: those
-   * of their own may be cut off from the store.
+   * Whether this entry sends weight updates to an agent. After a change all entries of the agent's region
+   * do, at other times a few. Agents of other regions get a new version from one entry of each region,
+   * because the entries of their own region may be cut off from the store.
    */
   private shouldSendWeights(
     { isNear, endpoint }: EndpointHandle,
@@ -106,21 +106,23 @@
     if (!isNear) {
       return (
         namedMsAgo <= bounds.versionMs &&
-        this.senders.isAmong(endpoint.address, sendersPerAgent.far)
+        this.notifiers.isAmong(endpoint.address, notifiersPerAgent.remote)
       );
     }
     if (isChange || !this.state.entryLocations.has(instance)) return true;
-    return this.senders.isAmong(endpoint.address, sendersPerAgent.near);
+    return this.notifiers.isAmong(endpoint.address, notifiersPerAgent.local);
   }
 
-  /** Takes the entries of this region as tellers when they have changed. */
-  private refreshSenders(): void {
-    const { entriesRevision, entryLocations: places } = this.state;
-    if (entriesRevision === this.sendersRevision) return;
-    this.sendersRevision = entriesRevision;
+  /** Updates the entries from which notifiers are chosen, if the registered entries have changed. */
+  private refreshNotifiers(): void {
+    const { entriesRevision, entryLocations } = this.state;
+    if (entriesRevision === this.notifiersRevision) return;
+    this.notifiersRevision = entriesRevision;
     const { region, regions } = this.settings;
-    const near = [...places].filter(([, { dataCentre }]) => regions.get(dataCentre) === region);
-    this.senders.take(near.map(([name]) => name));
+    const localEntries = [...entryLocations].filter(
+      ([, { dataCentre }]) => regions.get(dataCentre) === region,
+    );
+    this.notifiers.take(localEntries.map(([name]) => name));
   }
 
   private getReportIntervalMs({ isNear, region }: EndpointHandle): number {
@@ -172,7 +174,7 @@
       this.log.info('Engine changed.', { endpoint: handle.id, version, isSwitching, isAnswering });
     }
     const switchAt = report.switchInMs === undefined ? undefined : now + report.switchInMs;
-    // The engine ends what it runs before it loads other weights.
+    // The engine aborts its running requests before it loads other weights.
     if (isSwitching && !handle.isSwitching) handle.moveStreams(moveGraceMs);
     Object.assign(handle, { reportedVersion: version, isSwitching, isAnswering, switchAt });
     this.onReport(handle);
--- a/packages/forwarding/src/storeCallCounts.ts
+++ b/packages/forwarding/src/storeCallCounts.ts
@@ -1,18 +1,18 @@
 import { toFailure } from '@laburnumstream/common';
 import type { Metrics } from '@laburnumstream/common';
 
-/** What an entry calls the store for. */
+/** Kinds of calls to the store. */
 export const StoreCall = {
   list: 'list',
   watch: 'watch',
-  /** Its own registration and its lease. */
+  /** Registration of this entry and renewal of its lease. */
   lease: 'lease',
 } as const;
 
 /** One of the values of {@link StoreCall}. */
 export type StoreCall = (typeof StoreCall)[keyof typeof StoreCall];
 
-/** Counts calls to the store by what they are for and how they end. */
+/** Counts calls to the store by kind and outcome. */
 export class StoreCallCounter {
   constructor(private readonly metrics: Metrics) {}
 
--- a/packages/forwarding/src/streamRun.ts
+++ b/packages/forwarding/src/streamRun.ts
@@ -12,20 +12,20 @@
 import { deadlineExceeded } from './exchange.js';
 import type { Exchange } from './exchange.js';
 
-/** An attempt at a stream, and its outcome. */
+/** A running attempt at a stream. */
 interface RunningAttempt {
   readonly attempt: Attempt;
   readonly relay: EventRelay;
-  /** Rejects with `Timeout` when the request's time is over before. */
+  /** Rejects with `Timeout` if the request is aborted first. */
   readonly outcome: Promise<StreamOutcome>;
 }
 
-/** What came first: the end of an attempt, or an endpoint to which the stream can move. */
+/** What happened first: the end of an attempt, or the placement of a move to another endpoint. */
 type AttemptStep =
   | { readonly outcome: StreamOutcome }
   | { readonly placement: Placement<EndpointHandle> | undefined };
 
-/** One stream, over all its attempts. */
+/** Forwards one stream, across all its attempts. */
 export class StreamSession {
   private readonly attempts: RequestAttempts;
 
@@ -44,12 +44,12 @@
     return this.delivery.hasStarted;
   }
 
-  /** The last event that the caller has received. */
+  /** Id of the last event that the caller has received. */
   get lastEventId(): number | undefined {
     return this.delivery.lastEventId;
   }
 
-  /** Streams until the end; throws a typed failure when that can't be reached. */
+  /** Resolves when the stream has ended; rejects with a typed failure if it can't be completed. */
   async run(): Promise<void> {
     for (;;) {
       const placement = await this.attempts.place(this.exchange.signal);
@@ -57,31 +57,31 @@
     }
   }
 
-  /** Returns whether the stream has ended; false when it is to be tried once more. */
+  /** Returns true when the stream has ended, and false when it is to be retried. */
   private async runAttempt(placement: Placement<EndpointHandle>): Promise<boolean> {
     let running = this.start(placement);
     for (;;) {
-      const turn = await this.nextStep(running);
-      if ('outcome' in turn) return this.handleOutcome(running.attempt, turn.outcome);
-      if (turn.placement) running = this.moveTo(running, turn.placement);
+      const step = await this.nextStep(running);
+      if ('outcome' in step) return this.handleOutcome(running.attempt, step.outcome);
+      if (step.placement) running = this.moveTo(running, step.placement);
       else return this.handleOutcome(running.attempt, await running.outcome);
     }
   }
 
   private start(placement: Placement<EndpointHandle>): RunningAttempt {
     const { exchange, delivery, attempts } = this;
-    const couldGoOn = (): boolean => attempts.couldRetry(placement.target);
-    const relay = new EventRelay(exchange, delivery, this.services.clock, couldGoOn);
+    const couldResume = (): boolean => attempts.couldRetry(placement.target);
+    const relay = new EventRelay(exchange, delivery, this.services.clock, couldResume);
     const attempt = attempts.send(placement, relay, delivery.lastEventId);
     relay.attach(attempt);
     return { attempt, relay, outcome: this.waitForOutcome(attempt, relay) };
   }
 
-  /** The end of an attempt, or what came of the wish to move it elsewhere. */
+  /** Waits for the end of an attempt, or for the placement of a move if one is requested. */
   private async nextStep({ attempt, relay, outcome }: RunningAttempt): Promise<AttemptStep> {
     const ended = outcome.then((value): AttemptStep => ({ outcome: value }));
-    const asked = relay.moveRequested.then((): AttemptStep => ({ placement: undefined }));
-    const first = await Promise.race([ended, asked]);
+    const moveRequested = relay.moveRequested.then((): AttemptStep => ({ placement: undefined }));
+    const first = await Promise.race([ended, moveRequested]);
     if ('outcome' in first || !this.attempts.mayMove(attempt.handle)) return first;
     const placing = new LinkedAbort(this.exchange.signal);
     const placed = this.attempts.place(placing.signal).then(
@@ -93,7 +93,7 @@
     return second;
   }
 
-  /** The stream goes on at another endpoint, which has room, after its last event here. */
+  /** Resumes the stream at another endpoint, after its last delivered event. */
   private moveTo(
     { attempt, relay }: RunningAttempt,
     placement: Placement<EndpointHandle>,
@@ -114,18 +114,18 @@
 
   private handleOutcome(attempt: Attempt, outcome: StreamOutcome): boolean {
     attempt.markEnded();
-    if (outcome.kind === 'whole') {
+    if (outcome.kind === 'complete') {
       this.recordHealth(attempt.handle, AttemptSign.answered);
       this.recordCompletion(attempt);
       return true;
     }
-    if (outcome.kind === 'answer') return this.handleResponse(attempt, outcome);
+    if (outcome.kind === 'response') return this.handleResponse(attempt, outcome);
     this.recordHealth(attempt.handle, AttemptSign.failed);
     const execution = outcome.fault === CallFault.connection ? Execution.notRun : Execution.unknown;
     const { fault, reason } = outcome;
     if (this.attempts.mayRetry({ attempt, execution, fault, reason })) return false;
     if (execution === Execution.notRun) throw this.attempts.createRefusal();
-    throw new OutcomeUnknown('The connection to the endpoint broke.');
+    throw new OutcomeUnknown('The connection to the endpoint failed.');
   }
 
   private recordHealth(handle: EndpointHandle, sign: AttemptSign): void {
@@ -134,10 +134,10 @@
 
   private recordCompletion({ handle, call }: Attempt): void {
     const { head, route, service } = this.exchange;
-    const { firstEventMs = 0, maxGapMs: longestPauseMs, lastEventId } = this.delivery;
+    const { firstEventMs = 0, maxGapMs, lastEventId } = this.delivery;
     const { metrics, log } = this.services;
     metrics.observe('stream_first_event', firstEventMs);
-    metrics.observe('stream_longest_pause', longestPauseMs);
+    metrics.observe('stream_longest_pause', maxGapMs);
     log.info('Stream ended.', {
       id: head.id,
       service,
@@ -145,7 +145,7 @@
       ...call.stats,
       sends: this.attempts.sendCount,
       firstEventMs: Math.round(firstEventMs),
-      longestPauseMs: Math.round(longestPauseMs),
+      longestPauseMs: Math.round(maxGapMs),
       goalMs: route.goalMs,
       lastEventId: lastEventId ?? null,
     });
@@ -171,16 +171,16 @@
     });
   }
 
-  /** Takes an answer that is no stream. */
+  /** Handles a response that is not a stream; returns false when the request is to be retried. */
   private handleResponse(
     attempt: Attempt,
-    { status, head, rawHeaders, body }: Extract<StreamOutcome, { kind: 'answer' }>,
+    { status, head, rawHeaders, body }: Extract<StreamOutcome, { kind: 'response' }>,
   ): boolean {
     const { use, execution, sign } = judgeAnswer({ status, ...head });
     this.recordHealth(attempt.handle, sign);
-    const isAnswer = use === AnswerUse.deliver && !this.hasStarted;
+    const isDeliverable = use === AnswerUse.deliver && !this.hasStarted;
     const failed = { attempt, execution, fault: undefined, reason: `status ${status}` };
-    if (!isAnswer && this.attempts.mayRetry(failed)) return false;
+    if (!isDeliverable && this.attempts.mayRetry(failed)) return false;
     if (!this.hasStarted && use !== AnswerUse.discard) {
       const headers = this.services.codec.encodeResponseHeaders(rawHeaders);
       headers.push('content-length', String(body.length));
@@ -189,6 +189,6 @@
       return true;
     }
     if (execution === Execution.notRun) throw this.attempts.createRefusal();
-    throw new OutcomeUnknown('The endpoint sent no stream.');
+    throw new OutcomeUnknown('The endpoint did not send a stream.');
   }
 }
--- a/packages/forwarding/src/wholeAnswers.ts
+++ b/packages/forwarding/src/wholeAnswers.ts
@@ -9,28 +9,28 @@
 import { deadlineExceeded } from './exchange.js';
 import type { Exchange } from './exchange.js';
 
-/** Least time for an answer before the request goes on elsewhere, in milliseconds. */
+/** Minimum timeout of an attempt that can be retried elsewhere, in milliseconds. */
 const minAttemptTimeoutMs = 250;
-/** Factor on the expected time of an answer before the request goes on elsewhere. */
+/** Timeout of such an attempt as a multiple of its expected response time. */
 const attemptTimeoutFactor = 5;
 
-/** Forwards requests whose answers are passed on once they are whole. */
+/** Forwards requests whose responses are buffered and delivered when they are complete. */
 export class BufferedForwarder {
   constructor(
     private readonly services: AttemptServices,
     private readonly isIdempotent: boolean,
   ) {}
 
-  /** Sends the request until there is an answer to deliver; throws a typed failure. */
+  /** Retries the request until a response is delivered; rejects with a typed failure if none is. */
   async forward(exchange: Exchange): Promise<void> {
     const attempts = new RequestAttempts(exchange, this.services, this.isIdempotent);
     for (;;) {
       const collector = new ResponseCollector();
       const placement = await attempts.place(exchange.signal);
       const attempt = attempts.send(placement, collector, exchange.head.lastEventId);
-      const patience = this.startAttemptTimer(attempts, attempt, collector, placement.expectedMs);
+      const timer = this.startAttemptTimer(attempts, attempt, collector, placement.expectedMs);
       const outcome = await this.waitForOutcome(attempt, collector, exchange);
-      clearTimeout(patience);
+      clearTimeout(timer);
       attempt.markEnded();
       const isDone =
         outcome.kind === 'answer'
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Gives an attempt up that takes much longer than expected, if the request can go on elsewhere. */
+  /** Aborts an attempt that takes much longer than expected, if the request can be retried elsewhere. */
   private startAttemptTimer(
     attempts: RequestAttempts,
     attempt: Attempt,
@@ -52,11 +52,11 @@
     return setTimeout(() => {
       if (!attempts.couldRetry(attempt.handle)) return;
       attempt.call.abort();
-      collector.onFailure(CallFault.silent, `no answer for ${Math.round(ms)} ms`);
+      collector.onFailure(CallFault.silent, `no response for ${Math.round(ms)} ms`);
     }, ms);
   }
 
-  /** The outcome of an attempt; throws `Timeout` when the request's time is over before. */
+  /** Resolves with the outcome of an attempt; rejects with `Timeout` if the request is aborted first. */
   private waitForOutcome(attempt: Attempt, collector: ResponseCollector, { signal }: Exchange) {
     return new Promise<CallOutcome>((resolve, reject) => {
       const stop = (): void => {
@@ -65,7 +65,7 @@
         attempt.call.abort();
         attempt.markEnded();
         const execution = wasSent ? Execution.unknown : Execution.notRun;
-        reject(new Timeout('The endpoint did not answer in time.', execution));
+        reject(new Timeout('The endpoint did not respond in time.', execution));
       };
       if (signal.aborted) stop();
       signal.addEventListener('abort', stop, { once: true });
@@ -76,15 +76,15 @@
     });
   }
 
-  /** Delivers an answer, or returns false when the request is sent once more. */
+  /** Delivers a response and returns true, or returns false when the request is to be retried. */
   private handleResponse(
     exchange: Exchange,
     attempts: RequestAttempts,
     attempt: Attempt,
-    answer: BufferedResponse,
+    response: BufferedResponse,
   ): boolean {
     const { handle } = attempt;
-    const { status, head } = answer;
+    const { status, head } = response;
     const { load } = head;
     if (load) {
       const { clock } = this.services;
@@ -93,17 +93,17 @@
     const { use, execution, sign } = judgeAnswer({ status, ...head });
     this.recordHealth(attempt, sign);
     if (use === AnswerUse.deliver) {
-      this.deliver(exchange, attempt, answer);
+      this.deliver(exchange, attempt, response);
       return true;
     }
     const reason = `status ${status}`;
     if (attempts.mayRetry({ attempt, execution, fault: undefined, reason })) return false;
     if (use === AnswerUse.deliverIfLast) {
-      this.deliver(exchange, attempt, answer);
+      this.deliver(exchange, attempt, response);
       return true;
     }
     if (execution === Execution.notRun) throw attempts.createRefusal();
-    throw new OutcomeUnknown('The endpoint sent no answer that counts.');
+    throw new OutcomeUnknown('The endpoint sent no valid response.');
   }
 
   private handleFault(
@@ -116,7 +116,7 @@
     const execution = fault === CallFault.connection ? Execution.notRun : Execution.unknown;
     if (attempts.mayRetry({ attempt, execution, fault, reason })) return false;
     if (execution === Execution.notRun) throw attempts.createRefusal();
-    throw new OutcomeUnknown('The connection to the endpoint broke.');
+    throw new OutcomeUnknown('The connection to the endpoint failed.');
   }
 
   private recordHealth({ handle }: Attempt, sign: AttemptSign): void {
