--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -7,7 +7,7 @@
   readonly handle: EndpointHandle;
   readonly call: EndpointCall;
   /** Records that the endpoint has processed the prompt. */
-  markPromptRead(): void;
+  markPrefilled(): void;
   /** Records that the endpoint has finished the request. */
   markEnded(): void;
 }
--- a/packages/forwarding/src/attempts.ts
+++ b/packages/forwarding/src/attempts.ts
@@ -21,7 +21,7 @@
 const retryDelayMs = 500;
 /** A caller with less than this share of its route's timeout left is taken to retry after a refusal. */
 const callerRetryShare = 0.82;
-/** Time within which a running stream that is to move needs another endpoint, in milliseconds. */
+/** Time that a running stream has to find another endpoint when it is to move, in milliseconds. */
 const moveWaitMs = 800;
 /** Expected response time of a plain service, in milliseconds. */
 const plainResponseMs = 25;
@@ -213,28 +213,28 @@
     const callRequest = { method, path: url, id: head.id, headers, body };
     const maxIdleMs = this.isRetryable ? Infinity : maxNonRetryableIdleMs;
     const call = new EndpointCall(handle.pool, callRequest, maxIdleMs, codec, observer);
-    const readMs = handle.model?.readMs(head.promptTokens ?? 0) ?? 0;
-    let isPromptRead = false;
+    const prefillMs = handle.model?.readMs(head.promptTokens ?? 0) ?? 0;
+    let isPrefilled = false;
     let hasEnded = false;
-    const markPromptRead = (): void => {
-      if (isPromptRead) return;
-      isPromptRead = true;
-      handle.load.read(readMs);
+    const markPrefilled = (): void => {
+      if (isPrefilled) return;
+      isPrefilled = true;
+      handle.load.read(prefillMs);
       onLoadChange();
     };
     const markEnded = (): void => {
       if (hasEnded) return;
       hasEnded = true;
-      markPromptRead();
+      markPrefilled();
       handle.load.end();
       onLoadChange();
       queue.dispatch(exchange.service, handle);
     };
     directory.recordSend(handle);
     this.sendCount += 1;
-    handle.load.start(readMs);
+    handle.load.start(prefillMs);
     onLoadChange();
     call.start();
-    return { handle, call, markPromptRead, markEnded };
+    return { handle, call, markPrefilled, markEnded };
   }
 }
--- a/packages/forwarding/src/endpointCall.ts
+++ b/packages/forwarding/src/endpointCall.ts
@@ -165,7 +165,7 @@
     status: number,
     headers: IncomingHttpHeaders,
   ): void {
-    // Interim responses (1xx) are not forwarded.
+    // Interim responses (1xx) concern only this connection and are not forwarded.
     if (this.hasEnded || status < firstFinalStatus) return;
     this.controller = controller;
     const head = this.codec.decodeResponseHead(headers);
--- a/packages/forwarding/src/eventRelay.ts
+++ b/packages/forwarding/src/eventRelay.ts
@@ -102,7 +102,7 @@
     if (events.length === 0) return;
     this.hasEvents = true;
     this.startTimer(eventTimeoutMs);
-    this.attempt?.markPromptRead();
+    this.attempt?.markPrefilled();
     this.attempt?.handle.recordEvent(this.clock.now());
     if (this.delivery.send(this.status, this.rawHeaders, events)) return;
     this.attempt?.call.pause();
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -43,7 +43,7 @@
 const missingSlackMs = 500;
 /** Time in which the load balancer and callers notice that this process is draining, in milliseconds. */
 const drainNoticeMs = 3_000;
-/** Minimum duration of the registration's lease, in milliseconds. */
+/** Minimum lease of the registration, for which a dead entry stays registered, in milliseconds. */
 const minLeaseMs = 9_000;
 const drainPollMs = 50;
 /** Part of the shutdown bound that is reserved for the exit of the process, in milliseconds. */
--- a/packages/forwarding/src/loadSharing.ts
+++ b/packages/forwarding/src/loadSharing.ts
@@ -24,7 +24,10 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Schedules a broadcast that batches further changes; the delay grows with the number of peers. */
+  /**
+   * Schedules a broadcast that batches further changes. The delay grows with the number of peers, so that
+   * the rate of datagrams does not.
+   */
   schedule(): void {
     if (this.timer) return;
     const groups = Math.max(1, Math.ceil(this.peers.length / peersPerGroup));
--- a/packages/forwarding/src/streamRun.ts
+++ b/packages/forwarding/src/streamRun.ts
@@ -83,13 +83,13 @@
     const moveRequested = relay.moveRequested.then((): AttemptStep => ({ placement: undefined }));
     const first = await Promise.race([ended, moveRequested]);
     if ('outcome' in first || !this.attempts.mayMove(attempt.handle)) return first;
-    const placing = new LinkedAbort(this.exchange.signal);
-    const placed = this.attempts.place(placing.signal).then(
+    const placementAbort = new LinkedAbort(this.exchange.signal);
+    const placed = this.attempts.place(placementAbort.signal).then(
       (placement): AttemptStep => ({ placement }),
       (): AttemptStep => ({ placement: undefined }),
     );
     const second = await Promise.race([ended, placed]);
-    placing.end();
+    placementAbort.end();
     return second;
   }
 
