--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -97,7 +97,7 @@
   ...soakMutations,
   {
     name: 'proof from before the call',
-    file: 'packages/forwarding/dist/fleetFeed.js',
+    file: 'packages/forwarding/dist/fleetWatcher.js',
     find: 'this.proof.confirm(calledAt);',
     replace: 'this.proof.confirm(this.proofClock.now());',
     test: 'Bounds that all entries share: removed keys and calls that are slow, lost or late',
--- a/bench/src/mutations/soakMutations.ts
+++ b/bench/src/mutations/soakMutations.ts
@@ -35,7 +35,7 @@
   },
   {
     name: 'unknown outcome of a broken connection',
-    file: 'packages/forwarding/dist/wholeAnswers.js',
+    file: 'packages/forwarding/dist/bufferedForwarder.js',
     find: 'fault === CallFault.connection ? Execution.notRun : Execution.unknown',
     replace: 'Execution.notRun',
     test,
--- a/packages/forwarding/src/sidecarLinks.ts
+++ b/packages/forwarding/src/agentLinks.ts
@@ -6,7 +6,7 @@
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import type { FleetState } from './fleetState.js';
-import { LoadBroadcast } from './loadSharing.js';
+import { LoadBroadcast } from './loadBroadcast.js';
 
 /** Interval between two updates to each agent, in milliseconds. */
 const updateIntervalMs = 1_000;
--- a/packages/forwarding/src/wholeAnswers.ts
+++ b/packages/forwarding/src/bufferedForwarder.ts
@@ -1,10 +1,10 @@
 import { Execution, OutcomeUnknown, Timeout } from '@laburnumstream/common';
 import { AnswerUse, AttemptSign, judgeAnswer } from '@laburnumstream/decisions';
 import type { Attempt } from './attempt.js';
-import { RequestAttempts } from './attempts.js';
-import type { AttemptServices } from './attempts.js';
-import { ResponseCollector } from './answerCollector.js';
-import type { CallOutcome, BufferedResponse } from './answerCollector.js';
+import { RequestAttempts } from './requestAttempts.js';
+import type { AttemptServices } from './requestAttempts.js';
+import { ResponseCollector } from './responseCollector.js';
+import type { CallOutcome, BufferedResponse } from './responseCollector.js';
 import { CallFault } from './endpointCall.js';
 import { deadlineExceeded } from './exchange.js';
 import type { Exchange } from './exchange.js';
--- a/packages/forwarding/src/callerServer.ts
+++ b/packages/forwarding/src/callerServer.ts
@@ -18,7 +18,7 @@
 import type { HeaderCodec } from './headerCodec.js';
 import type { RequestHead } from './heads.js';
 import { Refusal, RefusalReason, toDeadlineFailure } from './refusal.js';
-import { RequestCounter } from './requestCounts.js';
+import { RequestCounter } from './requestCounter.js';
 
 /** Forwards the requests of routes with one kind of retry semantics. */
 export interface RequestForwarder {
--- a/packages/forwarding/src/endpointDirectory.ts
+++ b/packages/forwarding/src/endpointDirectory.ts
@@ -8,11 +8,11 @@
 } from '@laburnumstream/common';
 import { EndpointHealth, mayBeginOn } from '@laburnumstream/decisions';
 import type { RoomSharers } from '@laburnumstream/decisions';
-import type { EndpointSource } from './dispatchLine.js';
+import type { EndpointSource } from './dispatchQueue.js';
 import { EndpointHandle, engineQueueLimits } from './endpointHandle.js';
 import { EndpointState } from './endpointState.js';
 import type { FleetState } from './fleetState.js';
-import type { EntryCounts } from './sharingEntries.js';
+import type { EntryCounts } from './entryCounts.js';
 
 /** What makes an endpoint eligible for a request, apart from free capacity. */
 export interface Eligibility {
--- a/packages/forwarding/src/entryGauges.ts
+++ b/packages/forwarding/src/entryGauges.ts
@@ -1,7 +1,7 @@
 import type { Clock, Gauge } from '@laburnumstream/common';
 import type { SharedRetryBudget } from '@laburnumstream/decisions';
 import type { CallerServer, FreshnessChecks } from './callerServer.js';
-import type { DispatchQueue } from './dispatchLine.js';
+import type { DispatchQueue } from './dispatchQueue.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import type { FleetState } from './fleetState.js';
--- a/packages/forwarding/src/entryRegistration.ts
+++ b/packages/forwarding/src/entryRegistration.ts
@@ -1,6 +1,6 @@
 import { NotFound, toFailure } from '@laburnumstream/common';
 import type { Clock, KeyValueStore, Log, Metrics } from '@laburnumstream/common';
-import { StoreCall, StoreCallCounter } from './storeCallCounts.js';
+import { StoreCall, StoreCallCounter } from './storeCallCounter.js';
 
 /** Renewals per lease duration. */
 const renewalsPerLease = 3;
--- a/packages/forwarding/src/fleetFeed.ts
+++ b/packages/forwarding/src/fleetWatcher.ts
@@ -3,7 +3,7 @@
 import { RemovalHold, changeCollectionMs } from '@laburnumstream/decisions';
 import type { FleetChange, FleetCodec } from './fleetChange.js';
 import type { FleetState } from './fleetState.js';
-import { StoreCall, StoreCallCounter } from './storeCallCounts.js';
+import { StoreCall, StoreCallCounter } from './storeCallCounter.js';
 
 /** Timeout of a watch call, in milliseconds; its end proves that nothing has changed. */
 const watchTimeoutMs = 1_000;
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -10,19 +10,19 @@
 } from '@laburnumstream/common';
 import { ConfigurationProof, SharedRetryBudget } from '@laburnumstream/decisions';
 import { CallerServer } from './callerServer.js';
-import { DispatchQueue } from './dispatchLine.js';
+import { DispatchQueue } from './dispatchQueue.js';
 import { entryGauges } from './entryGauges.js';
 import { EndpointDirectory } from './endpointDirectory.js';
-import { StreamForwarder } from './eventStreams.js';
+import { StreamForwarder } from './streamForwarder.js';
 import { EntryRegistration } from './entryRegistration.js';
 import type { FleetCodec } from './fleetChange.js';
-import { FleetWatcher } from './fleetFeed.js';
+import { FleetWatcher } from './fleetWatcher.js';
 import { FleetState } from './fleetState.js';
 import type { HeaderCodec } from './headerCodec.js';
 import { serveReadiness } from './readiness.js';
-import { EntryCounts } from './sharingEntries.js';
-import { AgentLinks } from './sidecarLinks.js';
-import { BufferedForwarder } from './wholeAnswers.js';
+import { EntryCounts } from './entryCounts.js';
+import { AgentLinks } from './agentLinks.js';
+import { BufferedForwarder } from './bufferedForwarder.js';
 
 /** Dependencies of an entry. */
 export interface EntryDependencies {
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,7 +1,7 @@
 /** The entry for a platform with its own store: forwards callers' requests to endpoints. */
-export * from './answerCollector.js';
+export * from './responseCollector.js';
 export * from './connectionPool.js';
-export * from './dispatchLine.js';
+export * from './dispatchQueue.js';
 export * from './endpointDirectory.js';
 export * from './endpointCall.js';
 export * from './endpointHandle.js';
@@ -9,8 +9,8 @@
 export * from './forwardingEntry.js';
 export * from './headerCodec.js';
 export * from './heads.js';
-export * from './fleetFeed.js';
+export * from './fleetWatcher.js';
 export * from './fleetState.js';
 export * from './refusal.js';
-export * from './requestCounts.js';
-export * from './sharingEntries.js';
+export * from './requestCounter.js';
+export * from './entryCounts.js';
--- a/packages/forwarding/src/attempts.ts
+++ b/packages/forwarding/src/requestAttempts.ts
@@ -3,7 +3,7 @@
 import { mayRepeat } from '@laburnumstream/decisions';
 import type { Placement, SharedRetryBudget } from '@laburnumstream/decisions';
 import type { Attempt, FailedAttempt } from './attempt.js';
-import type { DispatchQueue, PlacementRequest } from './dispatchLine.js';
+import type { DispatchQueue, PlacementRequest } from './dispatchQueue.js';
 import { EndpointCall } from './endpointCall.js';
 import type { CallObserver } from './endpointCall.js';
 import type { Eligibility, EndpointDirectory } from './endpointDirectory.js';
--- a/packages/forwarding/src/eventStreams.ts
+++ b/packages/forwarding/src/streamForwarder.ts
@@ -1,8 +1,8 @@
 import { VersionUnsupported } from '@laburnumstream/common';
-import type { AttemptServices } from './attempts.js';
+import type { AttemptServices } from './requestAttempts.js';
 import { callerDisconnected } from './exchange.js';
 import type { Exchange } from './exchange.js';
-import { StreamSession } from './streamRun.js';
+import { StreamSession } from './streamSession.js';
 
 function supportsChunked({ request }: Exchange): boolean {
   return request.httpVersionMajor > 1 || request.httpVersionMinor >= 1;
--- a/packages/forwarding/src/streamRun.ts
+++ b/packages/forwarding/src/streamSession.ts
@@ -2,8 +2,8 @@
 import { AnswerUse, AttemptSign, judgeAnswer } from '@laburnumstream/decisions';
 import type { Placement } from '@laburnumstream/decisions';
 import type { Attempt } from './attempt.js';
-import { RequestAttempts } from './attempts.js';
-import type { AttemptServices } from './attempts.js';
+import { RequestAttempts } from './requestAttempts.js';
+import type { AttemptServices } from './requestAttempts.js';
 import { CallFault } from './endpointCall.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import { EventDelivery } from './eventDelivery.js';
