--- /dev/null
+++ b/packages/forwarding/src/bufferedForwarder.ts
@@ -0,0 +1,145 @@
+import { Execution, OutcomeUnknown, Timeout } from '@laburnumstream/common';
+import { AnswerUse, AttemptSign, judgeAnswer } from '@laburnumstream/decisions';
+import type { Attempt } from './attempt.js';
+import { RequestAttempts } from './requestAttempts.js';
+import type { AttemptServices } from './requestAttempts.js';
+import { ResponseCollector } from './responseCollector.js';
+import type { CallOutcome, BufferedResponse } from './responseCollector.js';
+import { CallFault } from './endpointCall.js';
+import { deadlineExceeded } from './exchange.js';
+import type { Exchange } from './exchange.js';
+
+/** Minimum timeout of an attempt that can be retried elsewhere, in milliseconds. */
+const minAttemptTimeoutMs = 250;
+/** Timeout of such an attempt as a multiple of its expected response time. */
+const attemptTimeoutFactor = 5;
+
+/** Forwards requests whose responses are buffered and delivered when they are complete. */
+export class BufferedForwarder {
+  constructor(
+    private readonly services: AttemptServices,
+    private readonly isIdempotent: boolean,
+  ) {}
+
+  /** Retries the request until a response is delivered; rejects with a typed failure if none is. */
+  async forward(exchange: Exchange): Promise<void> {
+    const attempts = new RequestAttempts(exchange, this.services, this.isIdempotent);
+    for (;;) {
+      const collector = new ResponseCollector();
+      const placement = await attempts.place(exchange.signal);
+      const attempt = attempts.send(placement, collector, exchange.head.lastEventId);
+      const timer = this.startAttemptTimer(attempts, attempt, collector, placement.expectedMs);
+      const outcome = await this.waitForOutcome(attempt, collector, exchange);
+      clearTimeout(timer);
+      attempt.markEnded();
+      const isDone =
+        outcome.kind === 'answer'
+          ? this.handleResponse(exchange, attempts, attempt, outcome.response)
+          : this.handleFault(attempts, attempt, outcome.fault, outcome.reason);
+      if (isDone) return;
+    }
+  }
+
+  /** Aborts an attempt that takes much longer than expected, if the request can be retried elsewhere. */
+  private startAttemptTimer(
+    attempts: RequestAttempts,
+    attempt: Attempt,
+    collector: ResponseCollector,
+    expectedMs: number,
+  ): NodeJS.Timeout | undefined {
+    if (!this.isIdempotent) return undefined;
+    const ms = Math.max(minAttemptTimeoutMs, expectedMs * attemptTimeoutFactor);
+    return setTimeout(() => {
+      if (!attempts.couldRetry(attempt.handle)) return;
+      attempt.call.abort();
+      collector.onFailure(CallFault.silent, `no response for ${Math.round(ms)} ms`);
+    }, ms);
+  }
+
+  /** Resolves with the outcome of an attempt; rejects with `Timeout` if the request is aborted first. */
+  private waitForOutcome(attempt: Attempt, collector: ResponseCollector, { signal }: Exchange) {
+    return new Promise<CallOutcome>((resolve, reject) => {
+      const stop = (): void => {
+        const { wasSent } = attempt.call;
+        if (signal.reason === deadlineExceeded) this.recordHealth(attempt, AttemptSign.failed);
+        attempt.call.abort();
+        attempt.markEnded();
+        const execution = wasSent ? Execution.unknown : Execution.notRun;
+        reject(new Timeout('The endpoint did not respond in time.', execution));
+      };
+      if (signal.aborted) stop();
+      signal.addEventListener('abort', stop, { once: true });
+      void collector.outcome.then((outcome) => {
+        signal.removeEventListener('abort', stop);
+        resolve(outcome);
+      });
+    });
+  }
+
+  /** Delivers a response and returns true, or returns false when the request is to be retried. */
+  private handleResponse(
+    exchange: Exchange,
+    attempts: RequestAttempts,
+    attempt: Attempt,
+    response: BufferedResponse,
+  ): boolean {
+    const { handle } = attempt;
+    const { status, head } = response;
+    const { load } = head;
+    if (load) {
+      const { clock } = this.services;
+      handle.load.report({ ...load, pace: 1 }, handle.load.own + 1, Infinity, clock.now());
+    }
+    const { use, execution, sign } = judgeAnswer({ status, ...head });
+    this.recordHealth(attempt, sign);
+    if (use === AnswerUse.deliver) {
+      this.deliver(exchange, attempt, response);
+      return true;
+    }
+    const reason = `status ${status}`;
+    if (attempts.mayRetry({ attempt, execution, fault: undefined, reason })) return false;
+    if (use === AnswerUse.deliverIfLast) {
+      this.deliver(exchange, attempt, response);
+      return true;
+    }
+    if (execution === Execution.notRun) throw attempts.createRefusal();
+    throw new OutcomeUnknown('The endpoint sent no valid response.');
+  }
+
+  private handleFault(
+    attempts: RequestAttempts,
+    attempt: Attempt,
+    fault: CallFault,
+    reason: string,
+  ): boolean {
+    this.recordHealth(attempt, AttemptSign.failed);
+    const execution = fault === CallFault.connection ? Execution.notRun : Execution.unknown;
+    if (attempts.mayRetry({ attempt, execution, fault, reason })) return false;
+    if (execution === Execution.notRun) throw attempts.createRefusal();
+    throw new OutcomeUnknown('The connection to the endpoint failed.');
+  }
+
+  private recordHealth({ handle }: Attempt, sign: AttemptSign): void {
+    handle.health.count(sign, this.services.clock.now());
+  }
+
+  private deliver(
+    { response, head, service, arrivedAt }: Exchange,
+    { handle, call }: Attempt,
+    { status, rawHeaders, body }: BufferedResponse,
+  ): void {
+    const { clock, log } = this.services;
+    log.info('Request answered.', {
+      id: head.id,
+      service,
+      endpoint: handle.id,
+      status,
+      ...call.stats,
+      ms: Math.round(clock.now() - arrivedAt),
+    });
+    const headers = this.services.codec.encodeResponseHeaders(rawHeaders);
+    headers.push('content-length', String(body.length));
+    response.writeHead(status, headers);
+    response.end(body);
+  }
+}
--- /dev/null
+++ b/packages/forwarding/src/dispatchQueue.ts
@@ -0,0 +1,248 @@
+import type { Clock, Log, Metrics, Random } from '@laburnumstream/common';
+import { ServedShares, WaitingLine, bestPlacement } from '@laburnumstream/decisions';
+import type { Demand, Placement, WaitingRequest } from '@laburnumstream/decisions';
+import type { Eligibility } from './endpointDirectory.js';
+import type { EndpointHandle } from './endpointHandle.js';
+import { Refusal, RefusalReason } from './refusal.js';
+
+/** A request for an endpoint. */
+export interface PlacementRequest extends WaitingRequest {
+  readonly id: string;
+  readonly service: string;
+  readonly demand: Demand;
+  /** Groups of requests that fairness is kept between: its route and its size class. */
+  readonly fairnessGroups: readonly string[];
+  readonly eligibility: Eligibility;
+  /** Whether it may be executed more than once. */
+  readonly isRetryable: boolean;
+  /** Monotonic time by which its first event should arrive, in milliseconds. */
+  readonly goalAt: number;
+  /** Monotonic time by which its response must be complete, in milliseconds. */
+  readonly deadlineAt: number;
+}
+
+/** Provides the endpoints to which requests are dispatched. */
+export interface EndpointSource {
+  /** Returns the endpoints of a service. */
+  forService(service: string): readonly EndpointHandle[];
+  /** Returns those of some endpoints, by default all of a service, that can get a request now. */
+  available(
+    service: string,
+    eligibility: Eligibility,
+    among?: readonly EndpointHandle[],
+  ): EndpointHandle[];
+  /** Whether any endpoint of a service could serve a request if it had free capacity. */
+  canServe(service: string, eligibility: Eligibility): boolean;
+}
+
+/** A request for which an endpoint is sought. */
+interface Candidate extends PlacementRequest {
+  /** Number of available endpoints when all were last checked; undefined before that. */
+  availableCount: number | undefined;
+}
+
+interface PendingRequest extends Candidate {
+  readonly resolve: (placement: Placement<EndpointHandle>) => void;
+  readonly reject: (error: unknown) => void;
+}
+
+/** Time between checks of queued requests without any other trigger, in milliseconds. */
+const recheckIntervalMs = 20;
+/** Time that the response needs to reach the caller, in milliseconds. */
+const responseTransitMs = 10;
+/** Longest time in the queue of a request that its caller retries after a refusal, in milliseconds. */
+const maxCallerRetryWaitMs = 300;
+/**
+ * Share of an endpoint's slots that is reserved for requests that can still meet their goal: under load,
+ * each slot that a late request takes is missing for one of them.
+ */
+const reservedSlotShare = 0.2;
+/**
+ * Share of the time to the goal that the estimated time may take. It is smaller for groups that were
+ * served more often than others, so that requests with short goals or large prompts are not starved.
+ */
+const goalShare = { base: 0.75, min: 0.35, max: 1, perLead: 3 } as const;
+/** Delay after which refused callers are asked to retry, in milliseconds; `spread` adds jitter. */
+const retryDelayMs = { min: 900, spread: 700 } as const;
+/** Upper limit of that delay, as a share of the caller's remaining time. */
+const maxRetryDelayShare = 1 / 3;
+
+/** Queues requests until an endpoint can serve them in time, and refuses those that would be too late. */
+export class DispatchQueue {
+  private readonly queues = new Map<string, WaitingLine<PendingRequest>>();
+
+  private readonly shares = new Map<string, ServedShares>();
+
+  private isRecheckScheduled = false;
+
+  constructor(
+    private readonly directory: EndpointSource,
+    private readonly clock: Clock,
+    private readonly random: Random,
+    private readonly metrics: Metrics,
+    private readonly log: Log,
+  ) {}
+
+  /** Resolves with an endpoint; rejects with a `Refusal` if the request can't be served in time. */
+  place(request: PlacementRequest, signal: AbortSignal): Promise<Placement<EndpointHandle>> {
+    const now = this.clock.now();
+    const queue = this.getQueue(request.service);
+    if (!request.isReturned)
+      this.getShares(request.service).countAsked(request.fairnessGroups, now);
+    const candidate: Candidate = { ...request, availableCount: undefined };
+    const placement = queue.length === 0 ? this.findPlacement(candidate, now) : undefined;
+    if (placement) return Promise.resolve(this.recordPlacement(request, placement, now));
+    const startAt = now + queue.expectedWaitMs(now);
+    if (!this.mayWait(request, startAt)) return Promise.reject(this.createRefusal(candidate, now));
+    return new Promise((resolve, reject) => {
+      const queued: PendingRequest = { ...candidate, resolve, reject };
+      const abort = (): void => {
+        if (queue.remove(queued)) reject(DispatchQueue.createAbortRefusal());
+      };
+      signal.addEventListener('abort', abort, { once: true });
+      queue.add(queued);
+      this.dispatch(request.service);
+      this.scheduleRecheck();
+    });
+  }
+
+  /**
+   * Dispatches queued requests of a service after capacity may have become free, at one endpoint or
+   * anywhere. Queued requests found none elsewhere, so only the endpoint that changed is checked.
+   */
+  dispatch(service: string, changed?: EndpointHandle): void {
+    const queue = this.queues.get(service);
+    if (!queue || queue.length === 0) return;
+    const now = this.clock.now();
+    const among = changed && [changed];
+    queue.ordered(now).forEach((queued) => {
+      const placement = this.findPlacement(queued, now, among);
+      if (placement) {
+        queue.remove(queued);
+        queued.resolve(this.recordPlacement(queued, placement, now));
+      } else if (!this.mayWait(queued, now)) {
+        queue.remove(queued);
+        queued.reject(this.createRefusal(queued, now));
+      }
+    });
+  }
+
+  dispatchAll(): void {
+    this.queues.forEach((_queue, service) => this.dispatch(service));
+  }
+
+  /** Number of queued requests by service. */
+  get queueLengths(): ReadonlyMap<string, number> {
+    return new Map([...this.queues].map(([service, { length }]) => [service, length]));
+  }
+
+  private scheduleRecheck(): void {
+    if (this.isRecheckScheduled) return;
+    this.isRecheckScheduled = true;
+    void this.clock.sleep(recheckIntervalMs).then(() => {
+      this.isRecheckScheduled = false;
+      this.dispatchAll();
+      if ([...this.queues.values()].some(({ length }) => length > 0)) this.scheduleRecheck();
+    });
+  }
+
+  private findPlacement(
+    request: Candidate,
+    now: number,
+    among?: readonly EndpointHandle[],
+  ): Placement<EndpointHandle> | undefined {
+    const { service, eligibility, demand } = request;
+    const targets = this.directory.available(service, eligibility, among);
+    if (!among) Object.assign(request, { availableCount: targets.length });
+    const best = bestPlacement(targets, demand, now, this.random);
+    if (!best) return undefined;
+    const availableMs =
+      (request.goalAt - now - responseTransitMs) * this.getGoalShare(request, now);
+    if (!request.isReturned && best.expectedMs <= availableMs) return best;
+    const { load, slots } = best.target;
+    const isLate = request.isReturned || now > request.startBy;
+    const unreservedSlots = slots - Math.ceil(slots * reservedSlotShare);
+    return isLate && load.occupied(now) < unreservedSlots ? best : undefined;
+  }
+
+  private getGoalShare({ service, fairnessGroups }: PlacementRequest, now: number): number {
+    const { base, min, max, perLead } = goalShare;
+    const share = base - this.getShares(service).lead(fairnessGroups, now) * perLead;
+    return Math.min(max, Math.max(min, share));
+  }
+
+  /** Whether a request that is sent at `startAt` can still be useful. */
+  private mayWait(request: PlacementRequest, startAt: number): boolean {
+    if (!this.directory.canServe(request.service, request.eligibility)) return false;
+    if (request.isReturned) return startAt - request.arrivedAt < maxCallerRetryWaitMs;
+    return startAt <= request.startBy;
+  }
+
+  private recordPlacement(
+    request: PlacementRequest,
+    placement: Placement<EndpointHandle>,
+    now: number,
+  ): Placement<EndpointHandle> {
+    const { target, expectedMs } = placement;
+    this.getQueue(request.service).countServed(request.workspace, now);
+    if (!request.isReturned)
+      this.getShares(request.service).countServed(request.fairnessGroups, now);
+    this.metrics.observe('request_wait', now - request.arrivedAt);
+    this.log.info('Request placed.', {
+      id: request.id,
+      service: request.service,
+      endpoint: target.id,
+      expectedMs: Math.round(expectedMs),
+      occupied: target.load.occupied(now),
+      reportAgeMs: Math.round(target.load.reportAgeMs(now)),
+      waitedMs: Math.round(now - request.arrivedAt),
+      isReturned: request.isReturned,
+      leftMs: Math.round(request.goalAt - now),
+      unreadMs: Math.round(target.load.unreadMs(now)),
+    });
+    return placement;
+  }
+
+  private createRefusal(request: Candidate, now: number): Refusal {
+    const { id, service, isRetryable } = request;
+    const remainingMs = Math.max(0, request.deadlineAt - now);
+    const delayMs = retryDelayMs.min + this.random.next() * retryDelayMs.spread;
+    const retryAfterMs = Math.min(delayMs, remainingMs * maxRetryDelayShare);
+    this.log.info('Request refused.', {
+      id,
+      service,
+      waitedMs: Math.round(now - request.arrivedAt),
+      isReturned: request.isReturned,
+      isRepeatable: isRetryable,
+      endpoints: this.directory.forService(service).length,
+      usable:
+        request.availableCount ?? this.directory.available(service, request.eligibility).length,
+      waiting: this.getQueue(service).length,
+      retryAfterMs: Math.round(retryAfterMs),
+    });
+    const message = 'No endpoint can answer in time.';
+    return new Refusal(RefusalReason.overloaded, message, retryAfterMs);
+  }
+
+  private static createAbortRefusal(): Refusal {
+    return new Refusal(RefusalReason.deadline, 'The request was aborted while it was queued.', 0);
+  }
+
+  private getShares(service: string): ServedShares {
+    let shares = this.shares.get(service);
+    if (!shares) {
+      shares = new ServedShares();
+      this.shares.set(service, shares);
+    }
+    return shares;
+  }
+
+  private getQueue(service: string): WaitingLine<PendingRequest> {
+    let queue = this.queues.get(service);
+    if (!queue) {
+      queue = new WaitingLine();
+      this.queues.set(service, queue);
+    }
+    return queue;
+  }
+}
--- a/packages/forwarding/src/endpointConnection.ts
+++ b/packages/forwarding/src/endpointConnection.ts
@@ -3,36 +3,36 @@
 import { Client } from 'undici';
 import type { Dispatcher } from 'undici';
 
-/** Longest time in which a connection is established, in milliseconds. */
+/** Timeout for establishing a connection, in milliseconds. */
 const connectTimeoutMs = 400;
-/** Time for which an idle connection is kept when the endpoint says nothing, in milliseconds. */
-const idleMs = 4_000;
-/** Part of the endpoint's own idle timeout that is not used, in milliseconds. */
+/** Idle timeout of a connection when the endpoint does not state one, in milliseconds. */
+const defaultIdleTimeoutMs = 4_000;
+/** Margin that is subtracted from the idle timeout that the endpoint states, in milliseconds. */
 const idleMarginMs = 1_000;
 
-/** One connection to an endpoint, which serves one request at a time. */
+/** One connection to an endpoint, which carries one request at a time. */
 export class EndpointConnection {
   private readonly client: Client;
 
   private socket: Socket | undefined;
 
-  /** Requests that were sent on it. */
-  private requests = 0;
+  /** Number of requests that were sent on it. */
+  private requestCount = 0;
 
   /** Monotonic time since when it has been idle, in milliseconds. */
   idleSince = 0;
 
   constructor(
     address: string,
-    /** Called at least once when the connection has ended. */
-    private readonly onEnd: (connection: EndpointConnection) => void,
+    /** Called at least once when the connection has closed. */
+    private readonly onClose: (connection: EndpointConnection) => void,
     onConnect: () => void,
   ) {
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: idleMs,
+      keepAliveTimeout: defaultIdleTimeoutMs,
       keepAliveTimeoutThreshold: idleMarginMs,
       strictContentLength: true,
       connect: connectorWith(connectTimeoutMs, (socket) => {
@@ -40,31 +40,31 @@
         socket.once('connect', onConnect);
       }),
     });
-    this.client.on('disconnect', () => this.ended());
-    this.client.on('connectionError', () => this.ended());
+    this.client.on('disconnect', () => this.handleClose());
+    this.client.on('connectionError', () => this.handleClose());
   }
 
-  /** Whether it has carried a request before, so that the endpoint may have closed it meanwhile. */
+  /** Whether it has carried a request before, so that the endpoint may have closed it since. */
   get isReused(): boolean {
-    return this.requests > 1;
+    return this.requestCount > 1;
   }
 
   dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
-    this.requests += 1;
+    this.requestCount += 1;
     this.client.dispatch(options, handler);
   }
 
-  /** Ends the connection; a request on it fails, and what of it is still under way is not delivered. */
+  /** Resets the connection; a request on it fails, and data still in transit is not delivered. */
   destroy(): void {
-    // The client tells nothing of a connection that has not been established.
-    this.onEnd(this);
+    // The client emits no event for a connection that has not been established.
+    this.onClose(this);
     if (this.socket?.connecting) this.socket.destroy();
     else this.socket?.resetAndDestroy();
     this.client.destroy().catch(() => undefined);
   }
 
-  private ended(): void {
-    this.onEnd(this);
+  private handleClose(): void {
+    this.onClose(this);
     this.client.destroy().catch(() => undefined);
   }
 }
--- a/packages/forwarding/src/entryRegistration.ts
+++ b/packages/forwarding/src/entryRegistration.ts
@@ -1,17 +1,17 @@
 import { NotFound, toFailure } from '@laburnumstream/common';
 import type { Clock, KeyValueStore, Log, Metrics } from '@laburnumstream/common';
-import { StoreCall, StoreCallCounts } from './storeCallCounts.js';
+import { StoreCall, StoreCallCounter } from './storeCallCounter.js';
 
-/** Renewals in the length of a lease. */
-const renewals = 3;
-/** Delay before a failed call is tried again, in milliseconds. */
-const retryMs = 1_000;
+/** Renewals per lease duration. */
+const renewalsPerLease = 3;
+/** Delay before a failed call is retried, in milliseconds. */
+const retryDelayMs = 1_000;
 
-/** Keeps this entry registered in the store, so that the others know how many share bounds. */
+/** Keeps this entry registered in the store, so that entries know how many share fleet-wide limits. */
 export class EntryRegistration {
   private lease: string | undefined;
 
-  private readonly calls: StoreCallCounts;
+  private readonly callCounter: StoreCallCounter;
 
   constructor(
     private readonly store: KeyValueStore,
@@ -22,41 +22,43 @@
     metrics: Metrics,
     private readonly log: Log,
   ) {
-    this.calls = new StoreCallCounts(metrics);
+    this.callCounter = new StoreCallCounter(metrics);
   }
 
-  /** Keeps the registration until the signal fires. */
+  /** Maintains the registration until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const pauseMs = await this.renew(signal);
-      await this.clock.sleep(pauseMs, signal).catch(() => undefined);
+      const delayMs = await this.renew(signal);
+      await this.clock.sleep(delayMs, signal).catch(() => undefined);
     }
   }
 
-  /** Ends the registration: this entry takes no more requests. */
+  /** Removes the registration when this entry stops taking requests. */
   async withdraw(): Promise<void> {
     const { lease } = this;
     this.lease = undefined;
     try {
       if (lease) await this.store.revokeLease(lease);
     } catch (error) {
-      this.log.info('Registration not ended; its lease will.', { type: toFailure(error).type });
+      this.log.info('Registration not removed; its lease will expire.', {
+        type: toFailure(error).type,
+      });
     }
   }
 
-  /** Renews the lease, or registers anew; returns the time until the next turn. */
+  /** Renews the lease, or registers again; returns the delay until the next call, in milliseconds. */
   private async renew(signal: AbortSignal): Promise<number> {
     try {
       if (this.lease) await this.store.renewLease(this.lease, signal);
       else await this.register(signal);
-      this.calls.answered(StoreCall.lease);
-      return this.leaseMs / renewals;
+      this.callCounter.countSuccess(StoreCall.lease);
+      return this.leaseMs / renewalsPerLease;
     } catch (error) {
       const failure = toFailure(error);
       if (failure instanceof NotFound) this.lease = undefined;
       if (!signal.aborted) this.log.info('Registration not renewed.', { type: failure.type });
-      this.calls.failed(StoreCall.lease, error);
-      return retryMs;
+      this.callCounter.countFailure(StoreCall.lease, error);
+      return retryDelayMs;
     }
   }
 
--- a/packages/forwarding/src/eventDelivery.ts
+++ b/packages/forwarding/src/eventDelivery.ts
@@ -3,9 +3,9 @@
 import type { Exchange } from './exchange.js';
 import type { HeaderCodec } from './headerCodec.js';
 
-/** What a caller has received of one stream, over all attempts. */
+/** Delivers one stream to its caller, across all attempts. */
 export class EventDelivery {
-  private hasHead = false;
+  private hasWrittenHead = false;
 
   private lastId: number | undefined;
 
@@ -14,8 +14,8 @@
   /** Time until the first event, in milliseconds; undefined before it. */
   firstEventMs: number | undefined;
 
-  /** Longest pause between two events, in milliseconds. */
-  longestPauseMs = 0;
+  /** Longest gap between two deliveries of events, in milliseconds. */
+  maxGapMs = 0;
 
   constructor(
     private readonly exchange: Exchange,
@@ -25,47 +25,47 @@
     this.lastId = exchange.head.lastEventId;
   }
 
-  get hasBegun(): boolean {
-    return this.hasHead;
+  get hasStarted(): boolean {
+    return this.hasWrittenHead;
   }
 
-  /** The event after which another attempt has to go on. */
+  /** Id of the last delivered event, after which another attempt resumes. */
   get lastEventId(): number | undefined {
     return this.lastId;
   }
 
-  /** Sends whole events on, with the head of the first attempt; returns whether there is room. */
+  /** Writes complete events, after the head of the first attempt; returns false on backpressure. */
   send(status: number, rawHeaders: readonly string[], events: readonly StreamEvent[]): boolean {
     const { response } = this.exchange;
-    this.begin(status, rawHeaders);
-    this.notePause();
-    let hasRoom = true;
+    this.writeHead(status, rawHeaders);
+    this.recordGap();
+    let isWritable = true;
     events.forEach(({ id, bytes }) => {
-      // An endpoint that goes on may begin with events that the caller has.
+      // An endpoint that resumes a stream may repeat events that the caller already has.
       if (id !== undefined && this.lastId !== undefined && id <= this.lastId) return;
       this.lastId = id ?? this.lastId;
-      hasRoom = response.write(bytes);
+      isWritable = response.write(bytes);
     });
-    return hasRoom;
+    return isWritable;
   }
 
-  /** The stream is whole. */
+  /** Ends the response after the last event; `rest` are bytes after it. */
   finish(status: number, rawHeaders: readonly string[], rest: Buffer): void {
-    this.begin(status, rawHeaders);
+    this.writeHead(status, rawHeaders);
     if (rest.length > 0) this.exchange.response.write(rest);
     this.exchange.response.end();
   }
 
-  private notePause(): void {
+  private recordGap(): void {
     const now = this.clock.now();
     if (this.lastSentAt === undefined) this.firstEventMs = now - this.exchange.arrivedAt;
-    else this.longestPauseMs = Math.max(this.longestPauseMs, now - this.lastSentAt);
+    else this.maxGapMs = Math.max(this.maxGapMs, now - this.lastSentAt);
     this.lastSentAt = now;
   }
 
-  private begin(status: number, rawHeaders: readonly string[]): void {
-    if (this.hasHead) return;
-    this.hasHead = true;
-    this.exchange.response.writeHead(status, this.codec.encodeAnswerHeaders(rawHeaders));
+  private writeHead(status: number, rawHeaders: readonly string[]): void {
+    if (this.hasWrittenHead) return;
+    this.hasWrittenHead = true;
+    this.exchange.response.writeHead(status, this.codec.encodeResponseHeaders(rawHeaders));
   }
 }
--- a/packages/forwarding/src/eventRelay.ts
+++ b/packages/forwarding/src/eventRelay.ts
@@ -6,33 +6,35 @@
 import type { MovableStream } from './endpointHandle.js';
 import type { EventDelivery } from './eventDelivery.js';
 import type { Exchange } from './exchange.js';
-import type { AnswerHead } from './heads.js';
+import type { ResponseHead } from './heads.js';
 
-/** How an attempt to stream ended. */
+/** Outcome of one attempt at a stream. */
 export type StreamOutcome =
-  | { readonly kind: 'whole' }
+  /** The stream ended and was delivered completely. */
+  | { readonly kind: 'complete' }
+  /** The endpoint sent a response that is not a stream. */
   | {
-      readonly kind: 'answer';
+      readonly kind: 'response';
       readonly status: number;
-      readonly head: AnswerHead;
+      readonly head: ResponseHead;
       readonly rawHeaders: readonly string[];
       readonly body: Buffer;
     }
   | { readonly kind: 'fault'; readonly fault: CallFault; readonly reason: string };
 
-/** Longest time until the first event of an attempt, in milliseconds. */
+/** Timeout for the first event of an attempt, in milliseconds. */
 const firstEventTimeoutMs = 900;
-/** Longest pause between two events of an attempt, in milliseconds. */
-const pauseTimeoutMs = 700;
+/** Timeout between two events of an attempt, in milliseconds. */
+const eventTimeoutMs = 700;
 
 /** Relays the events of one attempt to the caller. */
 export class EventRelay implements CallObserver, MovableStream {
   readonly outcome: Promise<StreamOutcome>;
 
-  /** Resolves when the stream should go on elsewhere. */
-  readonly moveAsked: Promise<void>;
+  /** Resolves when a move of the stream to another endpoint is requested. */
+  readonly moveRequested: Promise<void>;
 
-  /** Asks for the stream to go on elsewhere. */
+  /** Requests that the stream be resumed at another endpoint. */
   readonly move: () => void;
 
   hasEvents = false;
@@ -43,11 +45,11 @@
 
   private readonly splitter = new EventSplitter();
 
-  private readonly parts: Buffer[] = [];
+  private readonly chunks: Buffer[] = [];
 
   private status = 0;
 
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
 
   private rawHeaders: readonly string[] = [];
 
@@ -59,14 +61,14 @@
     private readonly exchange: Exchange,
     private readonly delivery: EventDelivery,
     private readonly clock: Clock,
-    /** Whether the stream could go on elsewhere: else its endpoint's silence ends nothing. */
-    private readonly couldGoOn: () => boolean,
+    /** Whether the stream could be resumed elsewhere; otherwise its timeouts are not enforced. */
+    private readonly couldResume: () => boolean,
   ) {
     this.outcome = new Promise((resolve) => {
       this.settle = resolve;
     });
     let move: () => void = () => undefined;
-    this.moveAsked = new Promise((resolve) => {
+    this.moveRequested = new Promise((resolve) => {
       move = resolve;
     });
     this.move = move;
@@ -77,75 +79,75 @@
     return this.attempt?.call.wasSent ?? false;
   }
 
-  /** The request has been sent. */
-  follow(attempt: Attempt): void {
+  /** Attaches the attempt with which the request has been sent. */
+  attach(attempt: Attempt): void {
     this.attempt = attempt;
     attempt.handle.addStream(this, this.clock.now());
     this.startTimer(firstEventTimeoutMs);
   }
 
-  began(status: number, head: AnswerHead, rawHeaders: readonly string[]): void {
+  onHead(status: number, head: ResponseHead, rawHeaders: readonly string[]): void {
     this.status = status;
     this.head = head;
     this.rawHeaders = rawHeaders;
     this.isStream = isSuccess(status) && judgeAnswer({ status, ...head }).use === AnswerUse.deliver;
   }
 
-  data(bytes: Buffer): void {
+  onData(bytes: Buffer): void {
     if (!this.isStream) {
-      this.parts.push(bytes);
+      this.chunks.push(bytes);
       return;
     }
     const events = this.splitter.take(bytes);
     if (events.length === 0) return;
     this.hasEvents = true;
-    this.startTimer(pauseTimeoutMs);
-    this.attempt?.wasRead();
-    this.attempt?.handle.heardEvent(this.clock.now());
+    this.startTimer(eventTimeoutMs);
+    this.attempt?.markPrefilled();
+    this.attempt?.handle.recordEvent(this.clock.now());
     if (this.delivery.send(this.status, this.rawHeaders, events)) return;
     this.attempt?.call.pause();
     this.exchange.response.once('drain', () => this.attempt?.call.resume());
   }
 
-  ended(): void {
-    this.leave();
-    if (this.isStream && this.isCut) {
+  onEnd(): void {
+    this.detach();
+    if (this.isStream && this.isTruncated) {
       const reason = this.hasEvents ? 'ended within an event' : 'ended without an event';
       this.settle({ kind: 'fault', fault: CallFault.truncated, reason });
       return;
     }
     if (this.isStream) {
       this.delivery.finish(this.status, this.rawHeaders, this.splitter.partial);
-      this.settle({ kind: 'whole' });
+      this.settle({ kind: 'complete' });
       return;
     }
     const { status, rawHeaders } = this;
-    const body = Buffer.concat(this.parts);
-    this.settle({ kind: 'answer', status, head: this.head!, rawHeaders, body });
+    const body = Buffer.concat(this.chunks);
+    this.settle({ kind: 'response', status, head: this.head!, rawHeaders, body });
   }
 
-  failed(fault: CallFault, reason: string): void {
-    this.leave();
+  onFailure(fault: CallFault, reason: string): void {
+    this.detach();
     this.settle({ kind: 'fault', fault, reason });
   }
 
-  /** Ends the attempt from this side. */
+  /** Aborts the attempt. */
   abort(): void {
-    this.leave();
+    this.detach();
     this.attempt?.call.abort();
-    this.attempt?.ended();
-    this.settle({ kind: 'fault', fault: CallFault.aborted, reason: 'ended by its owner' });
+    this.attempt?.markEnded();
+    this.settle({ kind: 'fault', fault: CallFault.aborted, reason: 'aborted' });
   }
 
-  /** A stream that only its connection ended is not whole within an event, or before the first one. */
-  private get isCut(): boolean {
-    const { framing } = this.attempt?.call.evidence ?? {};
+  /** A stream framed only by its connection is truncated if it ended within an event or without any. */
+  private get isTruncated(): boolean {
+    const { framing } = this.attempt?.call.stats ?? {};
     if (framing !== Framing.connection) return false;
-    const hasBegun = this.hasEvents || this.delivery.lastEventId !== undefined;
-    return !hasBegun || this.splitter.partial.length > 0;
+    const hasStarted = this.hasEvents || this.delivery.lastEventId !== undefined;
+    return !hasStarted || this.splitter.partial.length > 0;
   }
 
-  private leave(): void {
+  private detach(): void {
     clearTimeout(this.timer);
     this.attempt?.handle.removeStream(this);
   }
@@ -153,13 +155,13 @@
   private startTimer(ms: number): void {
     clearTimeout(this.timer);
     this.timer = setTimeout(() => {
-      if (!this.couldGoOn()) {
+      if (!this.couldResume()) {
         this.startTimer(ms);
         return;
       }
-      this.leave();
+      this.detach();
       this.attempt?.call.abort();
-      this.settle({ kind: 'fault', fault: CallFault.silent, reason: `silent for ${ms} ms` });
+      this.settle({ kind: 'fault', fault: CallFault.silent, reason: `no event for ${ms} ms` });
     }, ms);
   }
 }
--- /dev/null
+++ b/packages/forwarding/src/fleetWatcher.ts
@@ -0,0 +1,213 @@
+import { HistoryLost, InvalidInput, SleepAwareClock, toFailure } from '@laburnumstream/common';
+import type { Clock, Log, Metrics, StoreChange, StoreFeed } from '@laburnumstream/common';
+import { RemovalHold, changeCollectionMs } from '@laburnumstream/decisions';
+import type { FleetChange, FleetCodec } from './fleetChange.js';
+import type { FleetState } from './fleetState.js';
+import { StoreCall, StoreCallCounter } from './storeCallCounter.js';
+
+/** Timeout of a watch call, in milliseconds; its end proves that nothing has changed. */
+const watchTimeoutMs = 1_000;
+/** The same while removals are deferred because registrations may return, in milliseconds. */
+const deferredWatchTimeoutMs = 250;
+/** The same while the store is unreachable, in milliseconds. */
+const probeWatchTimeoutMs = 50;
+/** Changes may have been made this long before the first response after an outage, in milliseconds. */
+const recoverySlackMs = 1_000;
+/** Time for which a new process still uses versions older than the named ones, in milliseconds. */
+const restartGraceMs = 2_500;
+/** Response time of a watch call that did not have to wait for a change, in milliseconds. */
+const immediateResponseMs = 15;
+const initialBackoffMs = 100;
+const maxBackoffMs = 300;
+
+/** The registration that a change concerns; without a key for changes of other kinds. */
+interface Registration {
+  readonly key?: string;
+  /** Whether the registration was removed. */
+  readonly isGone?: boolean;
+}
+
+function getRegistration(change: FleetChange): Registration {
+  if (change.kind === 'endpoint') {
+    return { key: `endpoint ${change.id}`, isGone: change.endpoint === undefined };
+  }
+  if (change.kind === 'entry') {
+    return { key: `entry ${change.name}`, isGone: change.location === undefined };
+  }
+  return {};
+}
+
+/** Records how recently the store has confirmed the fleet state. */
+export interface FreshnessProof {
+  /** Called after the response to a call that began at `calledAt` has been applied. */
+  confirm(calledAt: number): void;
+}
+
+/** Keeps the fleet state in sync with the store and records how recent it is. */
+export class FleetWatcher {
+  private revision: number | undefined;
+
+  private backoffMs = initialBackoffMs;
+
+  /** Monotonic time of the last response, or of the start before the first one, in milliseconds. */
+  private lastResponseAt: number;
+
+  /** Time before the last response in which unseen changes may have been made, in milliseconds. */
+  private changeLookbackMs: number;
+
+  private isReachable = true;
+
+  private readonly deferredRemovals = new RemovalHold<FleetChange>();
+
+  private readonly callCounter: StoreCallCounter;
+
+  constructor(
+    private readonly store: StoreFeed,
+    private readonly codec: FleetCodec,
+    private readonly state: FleetState,
+    private readonly proof: FreshnessProof,
+    private readonly proofClock: SleepAwareClock,
+    private readonly clock: Clock,
+    private readonly metrics: Metrics,
+    private readonly log: Log,
+    /** Time after a version is named at which older ones must no longer be used, in milliseconds. */
+    versionMs: number,
+  ) {
+    this.lastResponseAt = clock.now();
+    this.callCounter = new StoreCallCounter(metrics);
+    // It is unknown when the versions in the first snapshot were named, so they count as nearly due.
+    this.changeLookbackMs = Math.max(0, versionMs - restartGraceMs);
+  }
+
+  /** Watches the store until the signal is aborted. */
+  async run(signal: AbortSignal): Promise<void> {
+    while (!signal.aborted) {
+      const calledAt = this.proofClock.now();
+      const call = this.revision === undefined ? StoreCall.list : StoreCall.watch;
+      try {
+        if (this.revision === undefined) await this.loadSnapshot(signal);
+        else await this.watchChanges(this.revision, signal);
+        this.proof.confirm(calledAt);
+        this.callCounter.countSuccess(call);
+        this.handleSuccess();
+        this.applyDueRemovals();
+      } catch (error) {
+        if (signal.aborted) return;
+        this.callCounter.countFailure(call, error);
+        await this.handleFailure(error, signal);
+      }
+    }
+  }
+
+  /** Timeout of the next watch call; short while the store may be unreachable. */
+  private get nextWatchTimeoutMs(): number {
+    if (!this.isReachable) return probeWatchTimeoutMs;
+    return this.deferredRemovals.isWaiting ? deferredWatchTimeoutMs : watchTimeoutMs;
+  }
+
+  private async loadSnapshot(signal: AbortSignal): Promise<void> {
+    const { values, revision } = await this.store.snapshot(this.codec.prefix, signal);
+    const changes = values.flatMap((value) => this.decode(value));
+    const changedAt = this.earliestChangeAt(this.clock.now());
+    this.recordResponse();
+    this.applyAll([...this.state.getRemovals(changes), ...changes], changedAt);
+    this.revision = revision;
+  }
+
+  private async watchChanges(after: number, signal: AbortSignal): Promise<void> {
+    const { prefix } = this.codec;
+    const waitMs = this.nextWatchTimeoutMs;
+    const calledAt = this.clock.now();
+    const { changes, revision } = await this.store.changes(prefix, after, waitMs, signal);
+    const now = this.clock.now();
+    // A change that was returned immediately may have been made at any time since the last response.
+    const changedAt = now - calledAt > immediateResponseMs ? now : this.earliestChangeAt(now);
+    this.recordResponse();
+    this.applyAll(
+      changes.flatMap((change) => this.decode(change)),
+      changedAt,
+    );
+    this.revision = Math.max(after, revision);
+    if (changes.length === 0) return;
+    await this.clock.sleep(changeCollectionMs(this.state.entryCount), signal);
+  }
+
+  /**
+   * Returns the earliest time at which changes in a response received at `now` may have become known
+   * to any entry. During an outage no entry learns of changes, so the time to act on them counts from
+   * its end.
+   */
+  private earliestChangeAt(now: number): number {
+    const knownAt = this.isReachable
+      ? this.lastResponseAt
+      : Math.max(this.lastResponseAt, now - recoverySlackMs);
+    return knownAt - this.changeLookbackMs;
+  }
+
+  /** Records a response of the store, before its changes are applied. */
+  private recordResponse(): void {
+    const now = this.clock.now();
+    if (!this.isReachable) this.deferredRemovals.storeReturned(now - this.lastResponseAt, now);
+    this.lastResponseAt = now;
+    this.changeLookbackMs = 0;
+  }
+
+  private applyAll(changes: readonly FleetChange[], changedAt: number): void {
+    this.state.applyBatch(() => changes.forEach((change) => this.applyOrDefer(change, changedAt)));
+  }
+
+  private applyOrDefer(change: FleetChange, changedAt: number): void {
+    const { key, isGone } = getRegistration(change);
+    if (key && !isGone) this.deferredRemovals.release(key);
+    if (key && isGone && this.deferredRemovals.hold(key, change, this.clock.now())) {
+      this.log.info('Not registered; it may come back.', { key });
+      return;
+    }
+    this.state.apply(change, changedAt);
+  }
+
+  private applyDueRemovals(): void {
+    const now = this.clock.now();
+    this.state.applyBatch(() =>
+      this.deferredRemovals.due(now).forEach((change) => this.state.apply(change, now)),
+    );
+  }
+
+  private decode(change: StoreChange): FleetChange[] {
+    try {
+      const decoded = this.codec.decode(change);
+      return decoded ? [decoded] : [];
+    } catch (error) {
+      if (!(error instanceof InvalidInput)) throw error;
+      this.metrics.count('store_values_unreadable');
+      this.log.warn('Invalid value in the store ignored.', {
+        key: change.key,
+        revision: change.revision,
+        reason: error.message,
+      });
+      return [];
+    }
+  }
+
+  private handleSuccess(): void {
+    this.backoffMs = initialBackoffMs;
+    if (this.isReachable) return;
+    this.isReachable = true;
+    this.log.info('Store reachable again.');
+  }
+
+  private async handleFailure(error: unknown, signal: AbortSignal): Promise<void> {
+    const failure = toFailure(error);
+    if (failure instanceof HistoryLost) {
+      this.revision = undefined;
+      this.log.warn('Watch history lost; reloading the snapshot.');
+      return;
+    }
+    if (this.isReachable) {
+      this.isReachable = false;
+      this.log.warn('Store not reachable.', { type: failure.type, reason: failure.message });
+    }
+    await this.clock.sleep(this.backoffMs, signal).catch(() => undefined);
+    this.backoffMs = Math.min(maxBackoffMs, this.backoffMs * 2);
+  }
+}
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -10,22 +10,22 @@
 } from '@laburnumstream/common';
 import { ConfigurationProof, SharedRetryBudget } from '@laburnumstream/decisions';
 import { CallerServer } from './callerServer.js';
-import { DispatchLine } from './dispatchLine.js';
+import { DispatchQueue } from './dispatchQueue.js';
 import { entryGauges } from './entryGauges.js';
 import { EndpointDirectory } from './endpointDirectory.js';
-import { EventStreams } from './eventStreams.js';
+import { StreamForwarder } from './streamForwarder.js';
 import { EntryRegistration } from './entryRegistration.js';
 import type { FleetCodec } from './fleetChange.js';
-import { FleetFeed } from './fleetFeed.js';
+import { FleetWatcher } from './fleetWatcher.js';
 import { FleetState } from './fleetState.js';
 import type { HeaderCodec } from './headerCodec.js';
 import { serveReadiness } from './readiness.js';
-import { SharingEntries } from './sharingEntries.js';
-import { SidecarLinks } from './sidecarLinks.js';
-import { WholeAnswers } from './wholeAnswers.js';
+import { EntryCounts } from './entryCounts.js';
+import { AgentLinks } from './agentLinks.js';
+import { BufferedForwarder } from './bufferedForwarder.js';
 
-/** What an entry needs from outside. */
-export interface EntryPorts {
+/** Dependencies of an entry. */
+export interface EntryDependencies {
   readonly settings: ForwarderSettings;
   readonly store: StoreFeed & KeyValueStore;
   readonly fleetCodec: FleetCodec;
@@ -33,60 +33,60 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
-  /** A log for a part of the process. */
+  /** Returns the logger of a part of the process. */
   readonly log: (part: string) => Log;
 }
 
-/** Part of the time for removed keys that a proof may be old: the rest is for requests on their way. */
-const proofShare = 0.92;
-/** Time beyond that for a new configuration after which nobody is told that a key is not there. */
-const denialSlackMs = 500;
-/** Time in which the balancer and callers notice that this process leaves, in milliseconds. */
-const noticeMs = 3_000;
-/** Time after which an entry that is gone is no longer registered, in milliseconds. */
-const leaseMs = 9_000;
+/** Share of the key revocation bound that a proof may be old; the rest is for requests in flight. */
+const proofAgeShare = 0.92;
+/** Time beyond the configuration bound up to which a key may be reported as unknown, in milliseconds. */
+const missingSlackMs = 500;
+/** Time in which the load balancer and callers notice that this process is draining, in milliseconds. */
+const drainNoticeMs = 3_000;
+/** Minimum lease of the registration, for which a dead entry stays registered, in milliseconds. */
+const minLeaseMs = 9_000;
 const drainPollMs = 50;
-/** Time that is left for the end of a process that has to stop, in milliseconds. */
-const stopMarginMs = 1_000;
+/** Part of the shutdown bound that is reserved for the exit of the process, in milliseconds. */
+const shutdownMarginMs = 1_000;
 
-function addressOf(address: string): { host: string; port: number } {
+function parseAddress(address: string): { host: string; port: number } {
   const [host = '', port = '0'] = address.split(':');
   return { host, port: Number(port) };
 }
 
-/** The entry on a platform with a store: forwards callers' requests straight to endpoints. */
+/** The entry for a platform with its own store: forwards callers' requests directly to endpoints. */
 export class ForwardingEntry {
   private readonly state: FleetState;
 
-  private readonly feed: FleetFeed;
+  private readonly watcher: FleetWatcher;
 
   private readonly directory: EndpointDirectory;
 
-  private readonly line: DispatchLine;
+  private readonly queue: DispatchQueue;
 
   private readonly callers: CallerServer;
 
-  private readonly sidecars: SidecarLinks;
+  private readonly agents: AgentLinks;
 
   private readonly registration: EntryRegistration;
 
   private isStopping = false;
 
-  constructor(private readonly ports: EntryPorts) {
-    const { settings, store, fleetCodec, headerCodec, clock, random, metrics, log } = ports;
+  constructor(private readonly dependencies: EntryDependencies) {
+    const { settings, store, fleetCodec, headerCodec, clock, random, metrics, log } = dependencies;
     const { bounds } = settings;
     const proofClock = new SleepAwareClock(clock);
     const proof = new ConfigurationProof(
-      bounds.revocationMs * proofShare,
-      bounds.configurationMs + denialSlackMs,
+      bounds.revocationMs * proofAgeShare,
+      bounds.configurationMs + missingSlackMs,
     );
-    this.state = new FleetState(metrics, log('fleet'), () => this.fleetChanged());
-    const sharing = new SharingEntries(this.state, settings, clock);
+    this.state = new FleetState(metrics, log('fleet'), () => this.handleFleetChange());
+    const entryCounts = new EntryCounts(this.state, settings, clock);
     const confirm = (calledAt: number): void => {
       proof.confirm(calledAt);
-      sharing.storeAnswered();
+      entryCounts.update();
     };
-    this.feed = new FleetFeed(
+    this.watcher = new FleetWatcher(
       store,
       fleetCodec,
       this.state,
@@ -97,9 +97,16 @@
       log('store'),
       bounds.versionMs,
     );
-    this.directory = new EndpointDirectory(settings, this.state, clock, metrics, random, sharing);
-    this.line = new DispatchLine(this.directory, clock, random, metrics, log('line'));
-    this.sidecars = new SidecarLinks(
+    this.directory = new EndpointDirectory(
+      settings,
+      this.state,
+      clock,
+      metrics,
+      random,
+      entryCounts,
+    );
+    this.queue = new DispatchQueue(this.directory, clock, random, metrics, log('line'));
+    this.agents = new AgentLinks(
       settings,
       this.state,
       this.directory,
@@ -107,13 +114,13 @@
       random,
       metrics,
       log('sidecars'),
-      (handle) => this.line.look(handle.endpoint.service, handle),
+      (handle) => this.queue.dispatch(handle.endpoint.service, handle),
     );
     this.registration = new EntryRegistration(
       store,
       fleetCodec.entryKey(settings.instance),
       fleetCodec.encodeEntry(settings),
-      Math.max(leaseMs, settings.store.shortestLeaseMs),
+      Math.max(minLeaseMs, settings.store.shortestLeaseMs),
       clock,
       metrics,
       log('registration'),
@@ -124,61 +131,61 @@
       windowMs: bounds.retryWindowMs,
     };
     const services = {
-      line: this.line,
+      queue: this.queue,
       directory: this.directory,
-      budget: new SharedRetryBudget(bound, () => sharing.forRepeats),
-      loadChanged: () => this.sidecars.loadChanged(),
+      budget: new SharedRetryBudget(bound, () => entryCounts.forRetries),
+      onLoadChange: () => this.agents.handleLoadChange(),
       codec: headerCodec,
       clock,
       metrics,
       log: log('requests'),
     };
-    const forwardings = {
-      [Repetition.idempotent]: new WholeAnswers(services, true),
-      [Repetition.nonIdempotent]: new WholeAnswers(services, false),
-      [Repetition.stream]: new EventStreams(services),
+    const forwarders = {
+      [Repetition.idempotent]: new BufferedForwarder(services, true),
+      [Repetition.nonIdempotent]: new BufferedForwarder(services, false),
+      [Repetition.stream]: new StreamForwarder(services),
     };
-    const checks = {
-      mayHonour: () => !bounds.refusesWithoutProof || proof.mayHonour(proofClock.now()),
-      mayDeny: () => proof.mayDeny(proofClock.now()),
+    const freshness = {
+      mayAcceptKeys: () => !bounds.refusesWithoutProof || proof.mayHonour(proofClock.now()),
+      mayReportMissing: () => proof.mayDeny(proofClock.now()),
       ageMs: () => proof.ageMs(proofClock.now()),
     };
     this.callers = new CallerServer(
       this.state,
-      checks,
-      forwardings,
+      freshness,
+      forwarders,
       headerCodec,
       clock,
       random,
       metrics,
       log('callers'),
     );
-    const { state, directory, line, callers } = this;
+    const { state, directory, queue, callers } = this;
     const { budget } = services;
-    const parts = { state, directory, line, callers, budget, checks, clock };
+    const parts = { state, directory, queue, callers, budget, freshness, clock };
     metrics.sample(() => entryGauges(parts));
   }
 
-  /** Starts serving; resolves when all servers listen. */
+  /** Starts serving; resolves when all servers are listening. */
   async start(signal: AbortSignal): Promise<void> {
-    const { callers, readiness } = this.ports.settings;
-    const ready = addressOf(readiness);
-    void this.feed.run(signal);
-    void this.sidecars.run(signal);
+    const { callers, readiness } = this.dependencies.settings;
+    const ready = parseAddress(readiness);
+    void this.watcher.run(signal);
+    void this.agents.run(signal);
     void this.registration.run(signal);
     await serveReadiness(ready.host, ready.port, () => this.isReady(), signal);
-    const { host, port } = addressOf(callers);
+    const { host, port } = parseAddress(callers);
     await this.callers.listen(host, port);
   }
 
-  /** Lets running requests end; resolves when there are none or the time is over. */
+  /** Drains running requests; resolves when none are left or the shutdown time is over. */
   async stop(): Promise<void> {
-    const { clock, settings } = this.ports;
+    const { clock, settings } = this.dependencies;
     this.isStopping = true;
     void this.registration.withdraw();
-    this.callers.leave();
-    const endAt = clock.now() + settings.bounds.shutdownMs - stopMarginMs;
-    const noticeAt = clock.now() + Math.min(noticeMs, settings.bounds.shutdownMs / 2);
+    this.callers.startDraining();
+    const endAt = clock.now() + settings.bounds.shutdownMs - shutdownMarginMs;
+    const noticeAt = clock.now() + Math.min(drainNoticeMs, settings.bounds.shutdownMs / 2);
     while (clock.now() < noticeAt) await clock.sleep(drainPollMs);
     this.callers.closeIdle();
     while (this.callers.active > 0 && clock.now() < endAt) await clock.sleep(drainPollMs);
@@ -188,10 +195,10 @@
     return !this.isStopping && this.state.routes !== undefined;
   }
 
-  private fleetChanged(): void {
+  private handleFleetChange(): void {
     this.callers.applyLimits();
     this.directory.refresh();
-    this.sidecars.tellSoon();
-    this.line.lookAtAll();
+    this.agents.scheduleUpdate();
+    this.queue.dispatchAll();
   }
 }
--- a/packages/forwarding/src/loadSharing.ts
+++ b/packages/forwarding/src/loadBroadcast.ts
@@ -5,15 +5,15 @@
 import type { EndpointHandle } from './endpointHandle.js';
 import type { FleetState } from './fleetState.js';
 
-/** Time in which changes are collected for each group of peers that is told, in milliseconds. */
-const collectMs = 5;
-const groupPeers = 4;
+/** Time in which changes are batched, for each group of peers, in milliseconds. */
+const batchMsPerGroup = 5;
+const peersPerGroup = 4;
 
 /**
- * Tells the other entries of the region what this one has at the region's engines, and learns what
- * they have there: reports of the engines are too old to keep entries from filling the same slots.
+ * Broadcasts this entry's load at the region's engines to the other entries of the region and receives
+ * theirs. Reports of the engines are too old to keep entries from filling the same slots.
  */
-export class LoadSharing {
+export class LoadBroadcast {
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -24,17 +24,21 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Tells soon, with the changes that come until then; the rate does not grow with the peers. */
-  tellSoon(): void {
+  /**
+   * Schedules a broadcast that batches further changes. The delay grows with the number of peers, so that
+   * the rate of datagrams does not.
+   */
+  schedule(): void {
     if (this.timer) return;
-    const groups = Math.max(1, Math.ceil(this.peers.length / groupPeers));
+    const groups = Math.max(1, Math.ceil(this.peers.length / peersPerGroup));
     this.timer = setTimeout(() => {
       this.timer = undefined;
-      this.tell();
-    }, collectMs * groups);
+      this.send();
+    }, batchMsPerGroup * groups);
   }
 
-  tell(): void {
+  /** Sends this entry's load to all peers. */
+  send(): void {
     const { peers } = this;
     if (peers.length === 0) return;
     const shares = this.engines
@@ -46,20 +50,20 @@
     this.datagrams.sendAll({ case: 'load', value: { shares } }, peers);
   }
 
-  /** Another entry told its load. */
-  take({ shares }: EntryLoad, sender: string): void {
+  /** Applies the load that another entry has sent. */
+  receive({ shares }: EntryLoad, sender: string): void {
     const now = this.clock.now();
-    const told = new Map(shares.map((share) => [share.address, share]));
+    const reported = new Map(shares.map((share) => [share.address, share]));
     this.engines.forEach(({ endpoint, load }) => {
-      const { requests = 0, unreadMs = 0 } = told.get(endpoint.address) ?? {};
+      const { requests = 0, unreadMs = 0 } = reported.get(endpoint.address) ?? {};
       load.hear(sender, { requests, unreadMs }, now);
     });
   }
 
-  /** Addresses of the other entries of this region. */
+  /** Hosts of the other entries of this region. */
   private get peers(): string[] {
     const { instance, region, regions } = this.settings;
-    return [...this.state.places]
+    return [...this.state.entryLocations]
       .filter(([name, { dataCentre }]) => name !== instance && regions.get(dataCentre) === region)
       .map(([, { host }]) => host);
   }
--- /dev/null
+++ b/packages/forwarding/src/requestAttempts.ts
@@ -0,0 +1,240 @@
+import { Execution, OutcomeUnknown } from '@laburnumstream/common';
+import type { Clock, Failure, Log, Metrics } from '@laburnumstream/common';
+import { mayRepeat } from '@laburnumstream/decisions';
+import type { Placement, SharedRetryBudget } from '@laburnumstream/decisions';
+import type { Attempt, FailedAttempt } from './attempt.js';
+import type { DispatchQueue, PlacementRequest } from './dispatchQueue.js';
+import { EndpointCall } from './endpointCall.js';
+import type { CallObserver } from './endpointCall.js';
+import type { Eligibility, EndpointDirectory } from './endpointDirectory.js';
+import type { EndpointHandle } from './endpointHandle.js';
+import type { Exchange } from './exchange.js';
+import type { HeaderCodec } from './headerCodec.js';
+import { Refusal, RefusalReason } from './refusal.js';
+
+/**
+ * Longest idle time of a connection on which a non-retryable request is sent, in milliseconds: the
+ * endpoint may be closing one that was idle for longer.
+ */
+const maxNonRetryableIdleMs = 2_500;
+/** Delay after which a caller is asked to retry when all endpoints refused its request. */
+const retryDelayMs = 500;
+/** A caller with less than this share of its route's timeout left is taken to retry after a refusal. */
+const callerRetryShare = 0.82;
+/** Time that a running stream has to find another endpoint when it is to move, in milliseconds. */
+const moveWaitMs = 800;
+/** Expected response time of a plain service, in milliseconds. */
+const plainResponseMs = 25;
+
+/** Services that all requests share. */
+export interface AttemptServices {
+  readonly queue: DispatchQueue;
+  readonly directory: EndpointDirectory;
+  readonly budget: SharedRetryBudget;
+  /** Called when this entry's load at an endpoint has changed. */
+  readonly onLoadChange: () => void;
+  readonly codec: HeaderCodec;
+  readonly clock: Clock;
+  readonly metrics: Metrics;
+  readonly log: Log;
+}
+
+/** The attempts of one request: the endpoints that were tried, and whether it may be retried. */
+export class RequestAttempts {
+  private readonly tried = new Set<string>();
+
+  /** Number of endpoints that may have executed the request. */
+  private executions = 0;
+
+  /** Whether the request is still running while another endpoint is sought. */
+  private isMoving = false;
+
+  /** Number of times that the request was sent to an endpoint. */
+  sendCount = 0;
+
+  /** Monotonic time since when another endpoint is needed, in milliseconds. */
+  private retryingSince: number | undefined;
+
+  constructor(
+    private readonly exchange: Exchange,
+    private readonly services: AttemptServices,
+    /** Whether the request may be executed more than once. */
+    private readonly isRetryable: boolean,
+  ) {
+    const { budget, clock } = services;
+    budget.earn(exchange.service, clock.now());
+  }
+
+  /** Waits for an endpoint; rejects with a typed failure if there is none. */
+  async place(signal: AbortSignal): Promise<Placement<EndpointHandle>> {
+    try {
+      return await this.services.queue.place(this.createPlacementRequest(), signal);
+    } catch (error) {
+      if (this.executions === 0) throw error;
+      throw new OutcomeUnknown('No other endpoint could take the request.', error);
+    }
+  }
+
+  /** Records a failed attempt and returns whether to retry; a retry is taken from the retry budget. */
+  mayRetry({ attempt, execution, fault, reason }: FailedAttempt): boolean {
+    const { exchange, services } = this;
+    const { budget, clock, metrics, log } = services;
+    const { handle, call } = attempt;
+    if (execution !== Execution.notRun) this.executions += 1;
+    this.isMoving = false;
+    this.retryingSince = clock.now();
+    this.tried.add(handle.id);
+    const allowed =
+      !exchange.signal.aborted &&
+      mayRepeat(this.isRetryable, execution) &&
+      this.executions < Math.max(1, exchange.route.maxAttempts);
+    const isRepeated = allowed && budget.spend(exchange.service, clock.now());
+    metrics.count(isRepeated ? 'requests_repeated' : 'attempts_failed');
+    if (fault) metrics.count(`attempts_${fault}`);
+    log.info('Attempt failed.', {
+      id: exchange.head.id,
+      endpoint: handle.id,
+      fault: fault ?? null,
+      reason,
+      ...call.stats,
+      execution,
+      isRepeatable: this.isRetryable,
+      isRepeated,
+      isWithinBudget: !allowed || isRepeated,
+      leftMs: Math.round(exchange.deadlineAt - clock.now()),
+    });
+    return isRepeated;
+  }
+
+  /** Whether the request could be retried elsewhere if its attempt at `handle` were aborted. */
+  couldRetry(handle: EndpointHandle): boolean {
+    const { exchange, services } = this;
+    const { directory, budget, clock } = services;
+    if (!this.isRetryable || this.executions + 1 >= exchange.route.maxAttempts) return false;
+    const tried = new Set([...this.tried, handle.id]);
+    return (
+      directory.canServe(exchange.service, this.eligibility(tried)) &&
+      budget.fits(exchange.service, clock.now())
+    );
+  }
+
+  /** Whether a running stream may move to another endpoint; a move is taken from the retry budget. */
+  mayMove(handle: EndpointHandle): boolean {
+    const { exchange, services } = this;
+    if (!this.isRetryable || this.executions + 1 >= exchange.route.maxAttempts) return false;
+    const now = services.clock.now();
+    if (!services.budget.spendSpare(exchange.service, now)) return false;
+    this.tried.add(handle.id);
+    this.isMoving = true;
+    this.retryingSince = now;
+    return true;
+  }
+
+  /** Records that the stream has moved; its previous endpoint counts as an execution. */
+  recordMove(): void {
+    this.executions += 1;
+    this.isMoving = false;
+  }
+
+  /** Returns the failure of a request that was not executed by its last attempt and is not retried. */
+  createRefusal(): Failure {
+    if (this.executions > 0)
+      return new OutcomeUnknown('An earlier attempt may have executed the request.');
+    const message = 'The endpoints refused the request.';
+    return new Refusal(RefusalReason.endpointsRefused, message, retryDelayMs);
+  }
+
+  private createPlacementRequest(): PlacementRequest {
+    const { head, route, service, workspace, arrivedAt, deadlineAt } = this.exchange;
+    const model = this.services.directory.forService(service)[0]?.model;
+    const { promptTokens = 0 } = head;
+    const outputTokens = head.expectedOutputTokens ?? head.maxOutputTokens ?? 0;
+    const size = model?.sizeClass(promptTokens, outputTokens);
+    const goalAt = this.getGoalAt();
+    return {
+      id: head.id,
+      service,
+      workspace: workspace?.name ?? '',
+      priority: workspace?.priority ?? route.priority,
+      arrivedAt: this.retryingSince ?? arrivedAt,
+      isReturned: this.retryingSince === undefined && this.isCallerRetry(),
+      startBy: model?.latestStart(goalAt, promptTokens) ?? goalAt - plainResponseMs,
+      isRetryable: this.isRetryable,
+      demand: { promptTokens, answerTokens: outputTokens },
+      fairnessGroups: size === undefined ? [route.name] : [route.name, size],
+      eligibility: this.eligibility(this.tried),
+      goalAt,
+      deadlineAt,
+    };
+  }
+
+  private eligibility(tried: ReadonlySet<string>): Eligibility {
+    const { route, workspace } = this.exchange;
+    return { homeRegions: [route.homeRegions, workspace?.homeRegions ?? []], tried };
+  }
+
+  /** Whether the caller retries after a refusal: it has clearly less time left than its route allows. */
+  private isCallerRetry(): boolean {
+    const { head, route } = this.exchange;
+    return (head.timeLeftMs ?? Infinity) < route.timeoutMs * callerRetryShare;
+  }
+
+  /** Returns the time by which the first event, or the next one of a resumed stream, should arrive. */
+  private getGoalAt(): number {
+    const { route, arrivedAt } = this.exchange;
+    const { retryingSince } = this;
+    const firstGoalAt = arrivedAt + route.goalMs;
+    if (retryingSince === undefined) return firstGoalAt;
+    return Math.max(
+      firstGoalAt,
+      retryingSince + (this.isMoving ? moveWaitMs : (route.pauseGoalMs ?? route.goalMs)),
+    );
+  }
+
+  /** Sends the request to an endpoint. */
+  send(
+    { target: handle }: Placement<EndpointHandle>,
+    observer: CallObserver,
+    lastEventId: number | undefined,
+  ): Attempt {
+    const { exchange, services } = this;
+    const { request, head, route, workspace, body, deadlineAt } = exchange;
+    const { codec, clock, directory, queue, onLoadChange } = services;
+    const headers = codec.encodeRequestHeaders(request.rawHeaders, {
+      timeLeftMs: deadlineAt - clock.now(),
+      endpointId: handle.id,
+      stripsKey: workspace !== undefined,
+      workspace: workspace?.name,
+      lastEventId,
+      priority: workspace?.priority ?? route.priority,
+      weightsVersion: undefined,
+    });
+    const { method = 'GET', url = '/' } = request;
+    const callRequest = { method, path: url, id: head.id, headers, body };
+    const maxIdleMs = this.isRetryable ? Infinity : maxNonRetryableIdleMs;
+    const call = new EndpointCall(handle.pool, callRequest, maxIdleMs, codec, observer);
+    const prefillMs = handle.model?.readMs(head.promptTokens ?? 0) ?? 0;
+    let isPrefilled = false;
+    let hasEnded = false;
+    const markPrefilled = (): void => {
+      if (isPrefilled) return;
+      isPrefilled = true;
+      handle.load.read(prefillMs);
+      onLoadChange();
+    };
+    const markEnded = (): void => {
+      if (hasEnded) return;
+      hasEnded = true;
+      markPrefilled();
+      handle.load.end();
+      onLoadChange();
+      queue.dispatch(exchange.service, handle);
+    };
+    directory.recordSend(handle);
+    this.sendCount += 1;
+    handle.load.start(prefillMs);
+    onLoadChange();
+    call.start();
+    return { handle, call, markPrefilled, markEnded };
+  }
+}
