--- a/bench/src/histories/world.ts
+++ b/bench/src/histories/world.ts
@@ -4,9 +4,9 @@
 import type { Log, Metrics } from '@laburnumstream/common';
 import { emptyConfiguration } from '@laburnumstream/decisions';
 import {
-  AttemptReader,
+  AttemptRunner,
   CrashGuard,
-  Directory,
+  MemberDirectory,
   RequestDispatcher,
   Router,
 } from '@laburnumstream/entry';
@@ -192,7 +192,7 @@
 
   private addEntry(name: string): void {
     const host = new Host(name, this.clock);
-    const directory = new Directory(host, dataCentre, optionDefaults, this.random);
+    const directory = new MemberDirectory(host, dataCentre, optionDefaults, this.random);
     // Without peers no link is ever used.
     const links = {} as LinkPool;
     const settings = { instance: name, dataCentre, options: optionDefaults };
@@ -207,7 +207,7 @@
       entrySettings,
       empty,
       directory,
-      new AttemptReader(transport, host, optionDefaults.silenceMs, () => undefined),
+      new AttemptRunner(transport, host, optionDefaults.silenceMs, () => undefined),
       guard,
       router,
       () => host.wall(),
@@ -218,12 +218,12 @@
     this.beat(directory);
   }
 
-  private beat(directory: Directory): void {
+  private beat(directory: MemberDirectory): void {
     this.agents.forEach(({ host }, name) => {
       const place = { region: 'north', dataCentre, service, address: name };
       if (!host.isAlive) return;
-      directory.beat(create(MemberSchema, { name, incarnation: 1n, ...place }));
-      directory.clear(name);
+      directory.recordHeartbeat(create(MemberSchema, { name, incarnation: 1n, ...place }));
+      directory.clearUnreachable(name);
     });
     this.clock.at(beatMs, () => this.beat(directory));
   }
--- a/bench/src/virtual/virtualEntry.ts
+++ b/bench/src/virtual/virtualEntry.ts
@@ -3,8 +3,8 @@
 import type { Instance, Log, Metrics, Random } from '@laburnumstream/common';
 import {
   ConfigurationEditor,
-  ConfigurationKeeper,
-  ConfigurationSpreader,
+  ConfigurationReplica,
+  ConfigurationReplicator,
   ConfigurationWatcher,
 } from '@laburnumstream/entry';
 import type { ConfigurationPeers } from '@laburnumstream/entry';
@@ -43,9 +43,9 @@
 
   readonly store: MemoryKeyValueStore;
 
-  readonly keeper: ConfigurationKeeper;
+  readonly keeper: ConfigurationReplica;
 
-  readonly spreader: ConfigurationSpreader;
+  readonly spreader: ConfigurationReplicator;
 
   readonly editor: ConfigurationEditor;
 
@@ -81,9 +81,9 @@
       observe: () => undefined,
       sample: () => undefined,
     };
-    this.keeper = new ConfigurationKeeper(metrics, noLog);
+    this.keeper = new ConfigurationReplica(metrics, noLog);
     this.editor = new ConfigurationEditor(this.store, this.keeper, this.clock);
-    this.spreader = new ConfigurationSpreader(
+    this.spreader = new ConfigurationReplicator(
       this.instance,
       this.keeper,
       new ConfigurationWatcher(
--- a/bench/src/virtual/virtualPeers.ts
+++ b/bench/src/virtual/virtualPeers.ts
@@ -1,6 +1,6 @@
 import { Aborted, Timeout } from '@laburnumstream/common';
 import type { Clock, Instance } from '@laburnumstream/common';
-import type { ConfigurationPeers, PeerAnswer } from '@laburnumstream/entry';
+import type { ConfigurationPeers, SyncResult } from '@laburnumstream/entry';
 import type { VirtualEntry } from './virtualEntry.js';
 
 const timeoutMs = 1_000;
@@ -25,22 +25,22 @@
     private readonly network: VirtualNetwork,
   ) {}
 
-  async sync(peer: Instance, revision: number, signal: AbortSignal): Promise<PeerAnswer> {
+  async sync(peer: Instance, revision: number, signal: AbortSignal): Promise<SyncResult> {
     const callee = await this.reach(peer, signal);
     const { keeper, spreader } = callee;
     const { configuration } = keeper;
     const document = configuration.revision > revision ? keeper.document : '';
-    const { silenceMs } = spreader;
+    const { storeSilenceMs: silenceMs } = spreader;
     this.network.sent(callee.instance.name, messageBytes + document.length);
     const costMs = document ? callee.sendDocument(documentCostMs) : 0;
     await this.caller.clock.sleep(this.latencyTo(peer) + costMs, signal);
     const { revision: known, changeId } = configuration;
-    return { revision: known, changeId, document, silenceMs };
+    return { revision: known, changeId, document, storeSilenceMs: silenceMs };
   }
 
   async announce(peer: Instance, revision: number, signal: AbortSignal): Promise<void> {
     const callee = await this.reach(peer, signal);
-    void callee.spreader.heard(this.caller.instance, revision, callee.signal);
+    void callee.spreader.handleAnnouncement(this.caller.instance, revision, callee.signal);
     await this.caller.clock.sleep(this.latencyTo(peer), signal);
   }
 
--- a/features/steps/outage.steps.ts
+++ b/features/steps/outage.steps.ts
@@ -2,7 +2,7 @@
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import { Caller, Fleet, freePorts, small } from '@laburnumstream/bench';
 import { SeededRandom } from '@laburnumstream/common';
-import { Directory, Prober } from '@laburnumstream/entry';
+import { MemberDirectory, Prober } from '@laburnumstream/entry';
 import { LinkPool, Secrets, serveInternal } from '@laburnumstream/links';
 import { AgentService } from '@laburnumstream/protocol';
 import type { Member } from '@laburnumstream/protocol';
@@ -20,7 +20,7 @@
   outageCaller: Caller;
   outageAbort: AbortController;
   outageRelay: Relay;
-  outageDirectory: Directory;
+  outageDirectory: MemberDirectory;
   outageMember: Member;
   outageNow: number;
 }
@@ -95,14 +95,14 @@
     this.outageRelay = await new Relay(port!).start();
     this.outageRelay.set('cut');
     const clock = new SystemClock();
-    this.outageDirectory = new Directory(clock, 'north-a', times, new SeededRandom(1));
+    this.outageDirectory = new MemberDirectory(clock, 'north-a', times, new SeededRandom(1));
     this.outageMember = memberOf('agent-1', {
       service,
       address: `http://${this.outageRelay.address}`,
     });
-    this.outageDirectory.beat(this.outageMember);
+    this.outageDirectory.recordHeartbeat(this.outageMember);
     assert.equal(this.outageDirectory.candidates(service, isOpen).length, 1);
-    this.outageDirectory.suspect('agent-1');
+    this.outageDirectory.markUnreachable('agent-1');
     const links = new LinkPool(secrets, 60_000, () => clock.now(), signal);
     void new Prober(this.outageDirectory, links, clock).run(signal);
   },
@@ -113,13 +113,13 @@
   async function check(this: OutageWorld) {
     const { outageDirectory, outageMember, outageRelay } = this;
     for (let beat = 2n; beat < 12n; beat += 1n) {
-      outageDirectory.beat({ ...outageMember, beat });
+      outageDirectory.recordHeartbeat({ ...outageMember, beat });
       assert.equal(outageDirectory.candidates(service, isOpen).length, 0);
       await new SystemClock().sleep(50);
     }
     outageRelay.set('open');
     const isBack = (): boolean => {
-      outageDirectory.beat({ ...outageMember, beat: BigInt(Date.now()) });
+      outageDirectory.recordHeartbeat({ ...outageMember, beat: BigInt(Date.now()) });
       return outageDirectory.candidates(service, isOpen).length === 1;
     };
     await eventually(isBack, 'the agent is back', 20_000);
@@ -129,8 +129,8 @@
 Given('an entry whose news of another data centre stop', function cut(this: OutageWorld) {
   this.outageNow = 0;
   const clock = { now: () => this.outageNow, wall: () => 0, sleep: () => Promise.resolve() };
-  this.outageDirectory = new Directory(clock, 'north-a', times, new SeededRandom(1));
-  this.outageDirectory.learn(memberOf('far', { service, dataCentre: 'south-a' }));
+  this.outageDirectory = new MemberDirectory(clock, 'north-a', times, new SeededRandom(1));
+  this.outageDirectory.mergeRecord(memberOf('far', { service, dataCentre: 'south-a' }));
   this.outageDirectory.members.confirm('south-a', 0, 0);
 });
 
@@ -138,7 +138,7 @@
   "its own endpoints stay and the other's are left out until the cut heals",
   function check(this: OutageWorld) {
     const names = (): string[] => {
-      this.outageDirectory.beat(memberOf('near', { service, beat: BigInt(this.outageNow + 1) }));
+      this.outageDirectory.recordHeartbeat(memberOf('near', { service, beat: BigInt(this.outageNow + 1) }));
       return this.outageDirectory.candidates(service, isOpen).map(({ name }) => name);
     };
     assert.deepEqual(names().sort(), ['far', 'near']);
--- a/packages/entry/src/answers.ts
+++ b/packages/entry/src/answers.ts
@@ -3,9 +3,9 @@
 import { OutcomeUnknown, toFailure } from '@laburnumstream/common';
 import type { Log } from '@laburnumstream/common';
 import { failureBody, sendJson } from '@laburnumstream/runtime';
-import type { AnswerPart } from './callerRequest.js';
+import type { ResponsePart } from './callerRequest.js';
 
-/** Sends an event and waits while the caller reads more slowly than the answer comes. */
+/** Sends a server-sent event; when the socket buffer is full, waits until it drains or closes. */
 async function sendEvent(response: ServerResponse, event: string, data: unknown): Promise<void> {
   const accepted = response.write(`event: ${event}\ndata: ${JSON.stringify(data)}\n\n`);
   if (accepted || response.destroyed) return;
@@ -16,24 +16,24 @@
   abort.abort();
 }
 
-/** Sends a plain service's answer once it is known to be whole. */
-export async function answerCall(
-  parts: AsyncIterable<AnswerPart>,
+/** Sends the response of a plain service once it is complete. */
+export async function sendCallResponse(
+  parts: AsyncIterable<ResponsePart>,
   response: ServerResponse,
 ): Promise<void> {
-  let answer: { readonly status: number; readonly body: string } | undefined;
+  let callResponse: { readonly status: number; readonly body: string } | undefined;
   for await (const part of parts) {
-    if (part.kind === 'answer') answer = part;
+    if (part.kind === 'answer') callResponse = part;
   }
-  if (!answer) throw new OutcomeUnknown('The answer has no content.');
-  response.writeHead(answer.status, { 'content-type': 'application/json' });
-  response.end(answer.body);
+  if (!callResponse) throw new OutcomeUnknown('The answer has no content.');
+  response.writeHead(callResponse.status, { 'content-type': 'application/json' });
+  response.end(callResponse.body);
 }
 
-/** Sends a completion as one JSON object once it is known to be whole. */
-export async function collectAnswer(
+/** Sends a completion as one JSON object once it is complete. */
+export async function sendCompletion(
   id: string,
-  parts: AsyncIterable<AnswerPart>,
+  parts: AsyncIterable<ResponsePart>,
   response: ServerResponse,
 ): Promise<void> {
   const texts: string[] = [];
@@ -45,10 +45,10 @@
   sendJson(response, 200, { id, text: texts.join(''), count: texts.length, digest });
 }
 
-/** Streams a completion as server-sent events; a cut one ends with an error event. */
-export async function streamAnswer(
+/** Streams a completion as server-sent events; an interrupted one ends with an error event. */
+export async function streamCompletion(
   id: string,
-  parts: AsyncIterable<AnswerPart>,
+  parts: AsyncIterable<ResponsePart>,
   response: ServerResponse,
   log: Log,
 ): Promise<void> {
--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -4,28 +4,30 @@
 import { fromRefusal } from '@laburnumstream/links';
 import type { RunMessage } from '@laburnumstream/links';
 import type { EndpointLoad, RunFrame } from '@laburnumstream/protocol';
-import type { AnswerPart, CallerRequest } from './callerRequest.js';
-import type { PartialAnswer } from './partialAnswer.js';
-import { SilenceWatch } from './silenceWatch.js';
+import type { ResponsePart, CallerRequest } from './callerRequest.js';
+import type { PartialResponse } from './partialAnswer.js';
+import { StreamWatchdog } from './silenceWatch.js';
 
-/** Carries requests to agents and their frames back. */
+/** Sends requests to agents and returns their response frames. */
 export interface RunTransport {
   run(address: string, message: RunMessage, signal: AbortSignal): AsyncIterable<RunFrame>;
-  /** Gives up the connection to an agent; the next run makes a new one. */
+  /** Closes the connection to an agent; the next run opens a new one. */
   drop(address: string): void;
 }
 
-/** One attempt of a request at one agent. */
+/** Parameters of one attempt of a request at one agent. */
 export interface Attempt {
   readonly number: number;
   readonly address: string;
+  /** Attaches to a run that the agent already knows; never starts one. */
   readonly attachOnly: boolean;
+  /** Runs only while nothing else runs at the endpoint. */
   readonly alone: boolean;
   readonly timeoutMs: number;
 }
 
-/** Sends one attempt and checks what comes back, frame by frame. */
-export class AttemptReader {
+/** Sends one attempt to an agent and validates its response frame by frame. */
+export class AttemptRunner {
   constructor(
     private readonly sessions: RunTransport,
     private readonly clock: Clock,
@@ -33,50 +35,53 @@
     private readonly onLoad: (load: EndpointLoad) => void,
   ) {}
 
-  /** The new parts of the answer; throws when the answer is refused, cut or not whole. */
-  async *read(
+  /**
+   * Yields the response parts that earlier attempts have not delivered. Throws when the agent refuses
+   * the request or the response is interrupted or incomplete.
+   */
+  async *run(
     request: CallerRequest,
     attempt: Attempt,
-    partial: PartialAnswer,
+    partial: PartialResponse,
     signal: AbortSignal,
-  ): AsyncGenerator<AnswerPart> {
-    const { number, address, ...how } = attempt;
+  ): AsyncGenerator<ResponsePart> {
+    const { number, address, ...options } = attempt;
     const { affinity, ...fields } = request;
     const { assembly, weights } = partial;
-    const message = { ...fields, ...how, attempt: number, weights, resumeFrom: assembly.count };
-    const order = new FrameOrder(request.id, number);
-    const watch = new SilenceWatch(this.clock, this.silenceMs, signal, () =>
+    const message = { ...fields, ...options, attempt: number, weights, resumeFrom: assembly.count };
+    const frameOrder = new FrameOrder(request.id, number);
+    const watchdog = new StreamWatchdog(this.clock, this.silenceMs, signal, () =>
       this.sessions.drop(address),
     );
-    const frames = this.sessions.run(address, message, watch.signal);
+    const frames = this.sessions.run(address, message, watchdog.signal);
     try {
-      for await (const frame of watch.guard(frames)) {
-        if (!order.accepts(frame)) continue;
-        const part = this.accept(frame, partial);
+      for await (const frame of watchdog.wrap(frames)) {
+        if (!frameOrder.accepts(frame)) continue;
+        const part = this.processFrame(frame, partial);
         if (part) yield part;
         if (part?.kind === 'end') return;
       }
     } finally {
-      watch.stop();
+      watchdog.stop();
     }
     throw new LinkLost(new OutcomeUnknown('The answer ended without its end mark.'));
   }
 
-  private accept(frame: RunFrame, partial: PartialAnswer): AnswerPart | undefined {
+  private processFrame(frame: RunFrame, partial: PartialResponse): ResponsePart | undefined {
     if (frame.load) this.onLoad(frame.load);
     const { content, weights } = frame;
     switch (content.case) {
       case 'tokens': {
         const { firstIndex, texts } = content.value;
-        const fresh = partial.assembly.take(firstIndex, texts);
-        if (fresh.length === 0) return undefined;
-        partial.begin(weights);
-        const fromIndex = fresh[0]!.index;
-        return { kind: 'tokens', firstIndex: fromIndex, texts: fresh.map(({ text }) => text) };
+        const newTokens = partial.assembly.take(firstIndex, texts);
+        if (newTokens.length === 0) return undefined;
+        partial.setWeights(weights);
+        const fromIndex = newTokens[0]!.index;
+        return { kind: 'tokens', firstIndex: fromIndex, texts: newTokens.map(({ text }) => text) };
       }
       case 'answer': {
         const { status, body } = content.value;
-        partial.take({ status, body });
+        partial.setCallResponse({ status, body });
         return { kind: 'answer', status, body };
       }
       case 'end':
--- a/packages/entry/src/auditTrail.ts
+++ b/packages/entry/src/auditTrail.ts
@@ -1,70 +1,71 @@
 import type { KeyValueStore } from '@laburnumstream/common';
 import type { AuditPage, AuditRecord, Configuration } from '@laburnumstream/decisions';
 
-const mostRecords = 1_000;
+const maxRecords = 1_000;
 const defaultRecords = 100;
 
 /** Which records of the audit trail to read. */
 export interface AuditQuery {
-  /** Only records of later revisions. */
+  /** Selects only records of revisions after this one. */
   readonly since?: number;
-  /** Most records; the latest are returned. */
+  /** Maximum number of records; the latest ones are returned. */
   readonly limit?: number;
 }
 
 /** Records of the audit trail, oldest first. */
 export interface AuditExtract {
   readonly records: readonly AuditRecord[];
-  /** False when older parts could not be read. */
+  /** False when older pages could not be read. */
   readonly complete: boolean;
 }
 
-function select(
+function selectLatest(
   records: readonly AuditRecord[],
   since: number,
-  wanted: number,
+  count: number,
 ): readonly AuditRecord[] {
-  return records.filter(({ revision }) => revision > since).slice(-wanted);
+  return records.filter(({ revision }) => revision > since).slice(-count);
 }
 
-/** Reads the audit trail: the records in the document, then older pages from the store. */
+/** Reads the audit trail: recent records from the document, older ones from pages in the store. */
 export class AuditTrail {
   constructor(private readonly store: KeyValueStore) {}
 
+  /** The latest records that match a query. */
   async read(
     configuration: Configuration,
     { since = 0, limit = defaultRecords }: AuditQuery,
     signal: AbortSignal,
   ): Promise<AuditExtract> {
-    const wanted = Math.min(limit, mostRecords);
+    const count = Math.min(limit, maxRecords);
     let records = configuration.audit;
     let key = configuration.auditPage;
-    while (key && records.length < wanted && (records[0]?.revision ?? Infinity) > since + 1) {
-      const page = await this.page(key, signal).catch(() => undefined);
-      if (!page) return { records: select(records, since, wanted), complete: false };
+    while (key && records.length < count && (records[0]?.revision ?? Infinity) > since + 1) {
+      const page = await this.readPage(key, signal).catch(() => undefined);
+      if (!page) return { records: selectLatest(records, since, count), complete: false };
       records = [...page.records, ...records];
       key = page.previous;
     }
-    return { records: select(records, since, wanted), complete: true };
+    return { records: selectLatest(records, since, count), complete: true };
   }
 
-  /** The record of a revision; undefined when the trail does not have it. */
-  async recordOf(
+  /** The record of a revision; undefined when there is none. */
+  async findByRevision(
     configuration: Configuration,
     revision: number,
     signal: AbortSignal,
   ): Promise<AuditRecord | undefined> {
     let { audit: records, auditPage: key } = configuration;
     while (key && (records[0]?.revision ?? Infinity) > revision) {
-      const page = await this.page(key, signal);
+      const page = await this.readPage(key, signal);
       if (!page) break;
       ({ records, previous: key } = page);
     }
     return records.find((record) => record.revision === revision);
   }
 
-  /** The record of a change among the latest records and one page before them. */
-  async recordOfChange(
+  /** The record of a change; searches the records in the document and the latest page only. */
+  async findByChange(
     configuration: Configuration,
     changeId: string,
     signal: AbortSignal,
@@ -73,10 +74,10 @@
     const isWanted = (record: AuditRecord): boolean => record.changeId === changeId;
     const found = audit.find(isWanted);
     if (found || !auditPage) return found;
-    return (await this.page(auditPage, signal))?.records.find(isWanted);
+    return (await this.readPage(auditPage, signal))?.records.find(isWanted);
   }
 
-  private async page(key: string, signal: AbortSignal): Promise<AuditPage | undefined> {
+  private async readPage(key: string, signal: AbortSignal): Promise<AuditPage | undefined> {
     const stored = await this.store.get(key, signal);
     return stored && (JSON.parse(stored.value) as AuditPage);
   }
--- a/packages/entry/src/callerServer.ts
+++ b/packages/entry/src/callerServer.ts
@@ -19,98 +19,108 @@
   sha256,
 } from '@laburnumstream/runtime';
 import type { EntrySettings } from '@laburnumstream/runtime';
-import { answerCall, collectAnswer, streamAnswer } from './answers.js';
+import { sendCallResponse, sendCompletion, streamCompletion } from './answers.js';
 import type { CallerRequest } from './callerRequest.js';
 import type { RequestDispatcher } from './requestDispatcher.js';
 
 const defaultMaxTokens = 256;
-const mostTokens = 65_536;
-const longestKey = 200;
-/** Prompts that share this many first characters go to the same endpoint where it has room. */
-const affinityPrefix = 64;
+const maxTokensLimit = 65_536;
+const maxKeyLength = 200;
+/** Prompts with the same first characters, up to this length, prefer the same endpoint. */
+const affinityPrefixLength = 64;
 const retryAfterMs = 1_000;
-/** Methods that change nothing. */
+/** Methods without side effects. */
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 const servicePath = /^\/v1\/services\/([a-z0-9-]+)\/(completions|calls)(\/.*)?$/;
 
-function header(request: IncomingMessage, name: string): string {
+function getHeader(request: IncomingMessage, name: string): string {
   const value = request.headers[name];
   return typeof value === 'string' ? value : '';
 }
 
-function requireText(body: Record<string, unknown>, key: string): string {
+function requireString(body: Record<string, unknown>, key: string): string {
   const value = body[key];
   if (typeof value === 'string' && value !== '') return value;
   throw new InvalidInput(`The field ${key} must be a non-empty text.`);
 }
 
-function tokenCount(value: unknown): number {
+function parseMaxTokens(value: unknown): number {
   if (value === undefined) return defaultMaxTokens;
-  if (Number.isInteger(value) && Number(value) >= 1 && Number(value) <= mostTokens) {
+  if (Number.isInteger(value) && Number(value) >= 1 && Number(value) <= maxTokensLimit) {
     return Number(value);
   }
-  throw new InvalidInput(`The field max_tokens must be a whole number from 1 to ${mostTokens}.`);
+  throw new InvalidInput(
+    `The field max_tokens must be a whole number from 1 to ${maxTokensLimit}.`,
+  );
 }
 
-function sharedFields(request: IncomingMessage) {
-  const idempotencyKey = header(request, 'idempotency-key');
-  if (idempotencyKey.length > longestKey) {
-    throw new InvalidInput(`The idempotency key is longer than ${longestKey} characters.`);
+function parseSharedFields(request: IncomingMessage) {
+  const idempotencyKey = getHeader(request, 'idempotency-key');
+  if (idempotencyKey.length > maxKeyLength) {
+    throw new InvalidInput(`The idempotency key is longer than ${maxKeyLength} characters.`);
   }
-  const nonIdempotent = header(request, 'non-idempotent') === 'true';
+  const nonIdempotent = getHeader(request, 'non-idempotent') === 'true';
   return { id: randomUUID(), idempotencyKey, nonIdempotent };
 }
 
 type SharedFields = Omit<CallerRequest, 'work' | 'affinity' | 'fingerprint'>;
 
-/** Digest of workspace, service and body: names requests that do the same. */
-function fingerprintOf({ workspace, service }: SharedFields, work: CallerRequest['work']): string {
+/** Digest of workspace, service and work; equal for requests that do the same work. */
+function computeFingerprint(
+  { workspace, service }: SharedFields,
+  work: CallerRequest['work'],
+): string {
   return sha256(JSON.stringify([workspace, service, work]));
 }
 
-function generationRequest(shared: SharedFields, fields: Record<string, unknown>): CallerRequest {
-  const prompt = requireText(fields, 'prompt');
+function createGenerationRequest(
+  shared: SharedFields,
+  fields: Record<string, unknown>,
+): CallerRequest {
+  const prompt = requireString(fields, 'prompt');
   const adapter = typeof fields.adapter === 'string' ? fields.adapter : '';
-  const value = { prompt, maxTokens: tokenCount(fields.max_tokens), adapter };
-  const affinity = `${shared.service}\n${prompt.slice(0, affinityPrefix)}`;
+  const value = { prompt, maxTokens: parseMaxTokens(fields.max_tokens), adapter };
+  const affinity = `${shared.service}\n${prompt.slice(0, affinityPrefixLength)}`;
   const work = { case: 'generation' as const, value };
-  return { ...shared, fingerprint: fingerprintOf(shared, work), affinity, work };
+  return { ...shared, fingerprint: computeFingerprint(shared, work), affinity, work };
 }
 
-function callRequest(
+function createCallRequest(
   shared: SharedFields,
   definition: ServiceDefinition,
   method: string,
   path: string,
   body: string,
 ): CallerRequest {
-  const marked = (definition.nonIdempotentPaths ?? []).some((prefix) => path.startsWith(prefix));
-  const changes = !safeMethods.has(method);
-  const guarded = marked || shared.idempotencyKey !== '';
-  const nonIdempotent = shared.nonIdempotent || (guarded && changes);
+  const isGuardedPath = (definition.nonIdempotentPaths ?? []).some((prefix) =>
+    path.startsWith(prefix),
+  );
+  const isUnsafe = !safeMethods.has(method);
+  const isGuarded = isGuardedPath || shared.idempotencyKey !== '';
+  const nonIdempotent = shared.nonIdempotent || (isGuarded && isUnsafe);
   const work = { case: 'call' as const, value: { method, path, body } };
-  const fingerprint = fingerprintOf(shared, work);
+  const fingerprint = computeFingerprint(shared, work);
   return { ...shared, nonIdempotent, fingerprint, affinity: '', work };
 }
 
-/** Workspaces by token hash, read once for each configuration. */
-const hashTables = new WeakMap<Configuration, Map<string, string>>();
+/** Workspace names by token hash, built once for each configuration. */
+const workspaceTables = new WeakMap<Configuration, Map<string, string>>();
 
-function workspacesByHash(configuration: Configuration): Map<string, string> {
-  const known = hashTables.get(configuration);
-  if (known) return known;
+function getWorkspacesByHash(configuration: Configuration): Map<string, string> {
+  const cached = workspaceTables.get(configuration);
+  if (cached) return cached;
   const entries = Object.entries(configuration.workspaces).flatMap(([name, { tokenHashes }]) =>
     tokenHashes.map((hash) => [hash, name] as const),
   );
   const table = new Map(entries);
-  hashTables.set(configuration, table);
+  workspaceTables.set(configuration, table);
   return table;
 }
 
-/** Serves callers: completions of model services and calls of plain services. */
+/** HTTP server for callers: completions of model services and calls of plain services. */
 export class CallerServer {
-  private running = 0;
+  private activeRequests = 0;
 
   private draining = false;
 
@@ -123,34 +133,35 @@
     private readonly log: Log,
   ) {}
 
-  get active(): number {
-    return this.running;
+  /** Number of requests being served. */
+  get activeCount(): number {
+    return this.activeRequests;
   }
 
-  /** Answers the balancer's readiness checks with 503 from now on; requests are still served. */
-  drain(): void {
+  /** Responds to readiness checks with 503 from now on; requests are still served. */
+  startDraining(): void {
     this.draining = true;
   }
 
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    this.running += 1;
+    this.activeRequests += 1;
     const started = this.clock.now();
-    // A leaving entry hands no connection back for another request.
+    // No keep-alive while draining, so that callers open their next connection to another entry.
     if (this.draining) response.setHeader('connection', 'close');
     try {
       const { pathname } = new URL(request.url ?? '/', 'http://entry');
-      if (pathname === '/ready') this.sendReady(response);
+      if (pathname === '/ready') this.sendReadiness(response);
       else await this.serve(pathname, request, response);
     } catch (error) {
       this.metrics.count('caller_failures');
       sendFailure(response, error);
     } finally {
-      this.running -= 1;
+      this.activeRequests -= 1;
       this.metrics.observe('caller_request', this.clock.now() - started);
     }
   }
 
-  private sendReady(response: ServerResponse): void {
+  private sendReadiness(response: ServerResponse): void {
     const { dataCentre } = this.settings;
     const configuration = this.configuration();
     const ready = !this.draining && configuration.revision > 0 && isIn(configuration, dataCentre);
@@ -164,39 +175,39 @@
   ): Promise<void> {
     const [, service = '', kind = '', path = '/'] = servicePath.exec(pathname) ?? [];
     if (!service) throw new NotFound(`There is no ${pathname}.`);
-    const workspace = this.workspaceOf(request);
+    const workspace = this.authenticateWorkspace(request);
     const definition = serviceOf(this.configuration(), service);
     if ((kind === 'completions') !== (definition.kind === ServiceKind.model)) {
       throw new InvalidInput(`The service ${service} is not used under ${kind}.`);
     }
     const body = await readBody(request, this.settings.options.maxBodyBytes);
     const abort = new AbortController();
-    const giveUp = (): void => abort.abort(operationEnded);
-    const limit = setTimeout(giveUp, this.settings.options.requestTimeoutMs);
+    const abortRequest = (): void => abort.abort(operationEnded);
+    const timer = setTimeout(abortRequest, this.settings.options.requestTimeoutMs);
     response.on('close', () => {
-      clearTimeout(limit);
-      if (!response.writableFinished) giveUp();
+      clearTimeout(timer);
+      if (!response.writableFinished) abortRequest();
     });
     const { signal } = abort;
-    const shared = { ...sharedFields(request), workspace, service };
+    const shared = { ...parseSharedFields(request), workspace, service };
     if (kind === 'calls') {
-      const call = callRequest(shared, definition, request.method ?? 'GET', path, body);
-      await answerCall(this.dispatcher.dispatch(call, signal), response);
+      const call = createCallRequest(shared, definition, request.method ?? 'GET', path, body);
+      await sendCallResponse(this.dispatcher.dispatch(call, signal), response);
       return;
     }
     const fields = parseObject(body);
-    const generation = generationRequest(shared, fields);
+    const generation = createGenerationRequest(shared, fields);
     const parts = this.dispatcher.dispatch(generation, signal);
-    if (fields.stream === true) await streamAnswer(generation.id, parts, response, this.log);
-    else await collectAnswer(generation.id, parts, response);
+    if (fields.stream === true) await streamCompletion(generation.id, parts, response, this.log);
+    else await sendCompletion(generation.id, parts, response);
   }
 
-  private workspaceOf(request: IncomingMessage): string {
+  private authenticateWorkspace(request: IncomingMessage): string {
     const configuration = this.configuration();
     if (configuration.revision === 0) {
       throw new Unavailable('No configuration is known yet.', retryAfterMs);
     }
-    const workspace = workspacesByHash(configuration).get(sha256(bearerToken(request)));
+    const workspace = getWorkspacesByHash(configuration).get(sha256(bearerToken(request)));
     if (!workspace) throw new Unauthenticated();
     return workspace;
   }
--- a/packages/entry/src/changes.ts
+++ b/packages/entry/src/changes.ts
@@ -9,8 +9,8 @@
   UnfitReport,
 } from '@laburnumstream/decisions';
 
-/** Who asks for a change, when and why. */
-export interface Author {
+/** Who requests a change and why, and the wall-clock time of the request in milliseconds. */
+export interface Attribution {
   readonly author: string;
   readonly reason: string;
   readonly at: number;
@@ -18,50 +18,50 @@
 
 type JsonObject = Readonly<Record<string, unknown>>;
 
-const editableParts = ['defaults', 'services', 'workspaces', 'operators', 'dataCentres'];
+const editableSections = ['defaults', 'services', 'workspaces', 'operators', 'dataCentres'];
 
-function checkParts(parts: JsonObject): void {
-  const unknown = Object.keys(parts).filter((key) => !editableParts.includes(key));
+function validateSections(sections: JsonObject): void {
+  const unknown = Object.keys(sections).filter((key) => !editableSections.includes(key));
   if (unknown.length > 0) {
     throw new InvalidInput(
-      `${unknown.join(', ')}: expected only the parts ${editableParts.join(', ')}`,
+      `${unknown.join(', ')}: expected only the parts ${editableSections.join(', ')}`,
     );
   }
-  const wrong = Object.entries(parts).filter(
-    ([, part]) => typeof part !== 'object' || part === null || Array.isArray(part),
+  const invalid = Object.entries(sections).filter(
+    ([, section]) => typeof section !== 'object' || section === null || Array.isArray(section),
   );
-  if (wrong.length === 0) return;
-  throw new InvalidInput(wrong.map(([key]) => `${key}: expected an object`).join('; '));
+  if (invalid.length === 0) return;
+  throw new InvalidInput(invalid.map(([key]) => `${key}: expected an object`).join('; '));
 }
 
-/** Patches the parts of the document item by item (RFC 7396): null removes an item. */
-export function applyChange(by: Author, parts: JsonObject): Change {
-  checkParts(parts);
+/** Applies a JSON merge patch (RFC 7396) to sections of the document; null removes an item. */
+export function applyChange(attribution: Attribution, patch: JsonObject): Change {
+  validateSections(patch);
   return {
-    author: by.author,
+    author: attribution.author,
     action: 'apply',
-    reason: by.reason,
-    apply: (before) => mergePatch(before, parts) as Configuration,
+    reason: attribution.reason,
+    apply: (before) => mergePatch(before, patch) as Configuration,
   };
 }
 
-/** Adds an exception; it must carry a written reason. */
-export function addException(by: Author, fields: JsonObject): Change {
+/** Adds a policy exception; a written reason is required. */
+export function addException(attribution: Attribution, fields: JsonObject): Change {
   const { expiresAt } = fields;
-  if (typeof expiresAt === 'number' && expiresAt <= by.at) {
+  if (typeof expiresAt === 'number' && expiresAt <= attribution.at) {
     throw new InvalidInput('expiresAt: expected a time in the future');
   }
   const exception = {
     scope: {},
     ...fields,
-    reason: by.reason,
-    author: by.author,
-    createdAt: by.at,
+    reason: attribution.reason,
+    author: attribution.author,
+    createdAt: attribution.at,
   } as unknown as PolicyException;
   return {
-    author: by.author,
+    author: attribution.author,
     action: `add exception ${String(fields.id)}`,
-    reason: by.reason,
+    reason: attribution.reason,
     apply: (before) => {
       if (before.exceptions.some(({ id }) => id === exception.id)) {
         throw new Conflict(`There is an exception ${exception.id} already.`);
@@ -71,12 +71,12 @@
   };
 }
 
-/** Removes an exception. */
-export function removeException(by: Author, id: string): Change {
+/** Removes a policy exception. */
+export function removeException(attribution: Attribution, id: string): Change {
   return {
-    author: by.author,
+    author: attribution.author,
     action: `remove exception ${id}`,
-    reason: by.reason,
+    reason: attribution.reason,
     apply: (before) => {
       const exceptions = before.exceptions.filter((known) => known.id !== id);
       if (exceptions.length === before.exceptions.length) {
@@ -87,14 +87,18 @@
   };
 }
 
-/** Takes a data centre out or returns it. */
-export function setDataCentre(by: Author, name: string, state: DataCentreState): Change {
-  const dataCentre: DataCentre = { state, reason: by.reason, since: by.at };
+/** Takes a data centre out of service or returns it to service. */
+export function setDataCentreState(
+  attribution: Attribution,
+  name: string,
+  state: DataCentreState,
+): Change {
+  const dataCentre: DataCentre = { state, reason: attribution.reason, since: attribution.at };
   const action = state === DataCentreState.out ? 'take out' : 'return';
   return {
-    author: by.author,
+    author: attribution.author,
     action: `${action} ${name}`,
-    reason: by.reason,
+    reason: attribution.reason,
     apply: (before) => {
       if (!before.dataCentres[name]) throw new NotFound(`There is no data centre ${name}.`);
       return { ...before, dataCentres: { ...before.dataCentres, [name]: dataCentre } };
@@ -102,31 +106,35 @@
   };
 }
 
-/** Starts the roll-out of a version. */
+/** Starts the roll-out of a version; the current version becomes the one to roll back to. */
 export function startRollOut(
-  by: Author,
+  attribution: Attribution,
   model: string,
   target: { version: string; digest: string },
 ): Change {
   return {
-    author: by.author,
+    author: attribution.author,
     action: `roll out ${model} ${target.version}`,
-    reason: by.reason,
+    reason: attribution.reason,
     apply: (before) => {
       const current = before.releases[model];
       const previous = current && { version: current.version, digest: current.digest };
-      const release: Release = { ...target, startedAt: by.at, ...(previous ? { previous } : {}) };
+      const release: Release = {
+        ...target,
+        startedAt: attribution.at,
+        ...(previous ? { previous } : {}),
+      };
       return { ...before, releases: { ...before.releases, [model]: release } };
     },
   };
 }
 
-/** Stops a roll-out and returns to the version before. */
-export function stopRollOut(by: Author, model: string, report: UnfitReport): Change {
+/** Stops a roll-out and rolls back to the previous version. */
+export function stopRollOut(attribution: Attribution, model: string, report: UnfitReport): Change {
   return {
-    author: by.author,
+    author: attribution.author,
     action: `stop roll-out of ${model}`,
-    reason: by.reason,
+    reason: attribution.reason,
     apply: (before) => {
       const release = stoppedRelease(before.releases[model], report);
       if (!release) throw new Conflict(`The roll-out of ${model} has ended or changed already.`);
--- a/packages/entry/src/configurationEditor.ts
+++ b/packages/entry/src/configurationEditor.ts
@@ -21,26 +21,29 @@
 
 export type { Change } from '@laburnumstream/decisions';
 
-const maxTries = 16;
+const maxWriteAttempts = 16;
 const retryMs = 200;
 
-/** Holds the configuration in force and takes newer ones. */
+/** Holds the configuration in force and adopts newer ones. */
 export interface ConfigurationHolder {
   readonly configuration: Configuration;
+  /** The document in JSON. */
   readonly document: string;
+  /** Puts a document in force if it is newer. */
   adopt(text: string): void;
 }
 
-/** The document that a change applies to, and the revision of the store's key. */
-interface Base {
+/** The document that a change applies to, and the store's revision of its key. */
+interface BaseDocument {
   readonly before: Configuration;
   readonly ifRevision: number;
 }
 
-/** An accepted change. */
+/** The revision and the id of an accepted change. */
 export type Acceptance = Pick<Configuration, 'revision' | 'changeId'>;
 
-async function orNotAccepted<Value>(step: Promise<Value>): Promise<Value> {
+/** Converts a failure to `NotAccepted`: a step failed before anything was written. */
+async function wrapAsNotAccepted<Value>(step: Promise<Value>): Promise<Value> {
   try {
     return await step;
   } catch (error) {
@@ -50,40 +53,43 @@
 
 /** Applies operators' changes to the stored document by compare-and-swap. */
 export class ConfigurationEditor {
-  private readonly trail: AuditTrail;
+  private readonly auditTrail: AuditTrail;
 
   constructor(
     private readonly store: KeyValueStore,
-    private readonly keeper: ConfigurationHolder,
+    private readonly holder: ConfigurationHolder,
     private readonly clock: Clock,
     private readonly timeoutMs: number = optionDefaults.changeTimeoutMs,
   ) {
-    this.trail = new AuditTrail(store);
+    this.auditTrail = new AuditTrail(store);
   }
 
   /**
-   * Applies a change and returns the revision that it has become. A lost answer is resolved by reading again.
-   * Throws `NotAccepted` or another refusal only when the change is certainly not accepted, and
-   * `AcceptanceUnknown` when that cannot be found out in time.
+   * Applies a change and returns its revision. When the response to a write is lost, reads the document
+   * again to find out whether the write was applied. Throws `NotAccepted` or another refusal only when
+   * the change is certainly not accepted, and `AcceptanceUnknown` when that stays unknown.
    */
-  async apply(change: Change, owner: AbortSignal): Promise<Acceptance> {
-    const limit = new AbortController();
-    const signal = AbortSignal.any([owner, limit.signal]);
+  async apply(change: Change, parentSignal: AbortSignal): Promise<Acceptance> {
+    const timeout = new AbortController();
+    const signal = AbortSignal.any([parentSignal, timeout.signal]);
     void this.clock.sleep(this.timeoutMs, signal).then(
-      () => limit.abort(),
+      () => timeout.abort(),
       () => undefined,
     );
     try {
-      return await this.tryAgainAndAgain(change, change.changeId ?? randomUUID(), signal);
+      return await this.applyWithRetries(change, change.changeId ?? randomUUID(), signal);
     } finally {
-      limit.abort();
+      timeout.abort();
     }
   }
 
-  /** What a change would do to the newest document within reach; writes nothing. */
+  /**
+   * The result of applying a change to the stored document, or to the one in force when the store
+   * cannot be reached; writes nothing.
+   */
   async preview(change: Change, signal: AbortSignal): Promise<Edit & { before: Configuration }> {
-    const { before } = await this.read(signal).catch(() => ({
-      before: this.keeper.configuration,
+    const { before } = await this.readNewest(signal).catch(() => ({
+      before: this.holder.configuration,
     }));
     const base = change.ifRevision ?? before.revision;
     const edit = editOf(change, { before, base, changeId: '', at: this.clock.wall() });
@@ -91,56 +97,56 @@
     return { ...edit, before };
   }
 
-  /** Reads whether a change is accepted: its revision, or undefined when it is not up to now. */
-  async revisionOf(changeId: string, signal: AbortSignal): Promise<number | undefined> {
-    const { before } = await this.read(signal);
-    return (await this.trail.recordOfChange(before, changeId, signal))?.revision;
+  /** The revision of a change; undefined when it has not been accepted so far. */
+  async findRevision(changeId: string, signal: AbortSignal): Promise<number | undefined> {
+    const { before } = await this.readNewest(signal);
+    return (await this.auditTrail.findByChange(before, changeId, signal))?.revision;
   }
 
-  private async tryAgainAndAgain(
+  private async applyWithRetries(
     change: Change,
     changeId: string,
     signal: AbortSignal,
   ): Promise<Acceptance> {
     let base = change.ifRevision;
-    for (let tries = 0; tries < maxTries; tries += 1) {
-      const { before, ifRevision } = await orNotAccepted(this.read(signal));
-      const known = await orNotAccepted(this.acceptedBefore(change, before, signal));
-      if (known) return known;
+    for (let attempt = 0; attempt < maxWriteAttempts; attempt += 1) {
+      const { before, ifRevision } = await wrapAsNotAccepted(this.readNewest(signal));
+      const acceptance = await wrapAsNotAccepted(this.findAcceptance(change, before, signal));
+      if (acceptance) return acceptance;
       base ??= before.revision;
       const at = this.clock.wall();
       const edit = editOf(change, { before, base, changeId, at });
-      const after = await orNotAccepted(this.movePage(edit.after, before, signal));
+      const after = await wrapAsNotAccepted(this.archiveDuePage(edit.after, before, signal));
       const text = JSON.stringify(after);
       checkSize(text);
-      if (await this.write(text, after, ifRevision, signal)) {
-        this.keeper.adopt(text);
+      if (await this.writeUntilKnown(text, after, ifRevision, signal)) {
+        this.holder.adopt(text);
         return { revision: after.revision, changeId };
       }
     }
     throw new Conflict('Other changes kept coming first; the change is not accepted.');
   }
 
-  /** Reads the newest document; one in force here that the store has lost goes first. */
-  private async read(signal: AbortSignal): Promise<Base> {
+  /** Reads the stored document; returns the one in force when the store has lost revisions. */
+  private async readNewest(signal: AbortSignal): Promise<BaseDocument> {
     const stored = await this.store.get(configurationKey, signal);
     const before = parseConfiguration(stored?.value ?? '{}');
-    const inForce = this.keeper.configuration;
+    const inForce = this.holder.configuration;
     const newest = inForce.revision > before.revision ? inForce : before;
     return { before: newest, ifRevision: stored?.revision ?? 0 };
   }
 
-  /** The acceptance of a change that its author has sent before. */
-  private async acceptedBefore(
+  /** The acceptance of a change that was already applied under the same id. */
+  private async findAcceptance(
     { changeId }: Change,
     before: Configuration,
     signal: AbortSignal,
   ): Promise<Acceptance | undefined> {
-    return changeId ? this.trail.recordOfChange(before, changeId, signal) : undefined;
+    return changeId ? this.auditTrail.findByChange(before, changeId, signal) : undefined;
   }
 
-  /** Moves older audit records to a key of their own before the change is written. */
-  private async movePage(
+  /** Moves older audit records to a page under its own key before the change is written. */
+  private async archiveDuePage(
     after: Configuration,
     before: Configuration,
     signal: AbortSignal,
@@ -155,32 +161,32 @@
     return withoutPage(after, page);
   }
 
-  /** Writes until it is known whether the document is stored. */
-  private async write(
+  /** Retries a write until its outcome is known; returns whether the document was stored. */
+  private async writeUntilKnown(
     text: string,
     { revision, changeId }: Configuration,
     ifRevision: number,
     signal: AbortSignal,
   ): Promise<boolean> {
-    let lost: unknown;
+    let writeError: unknown;
     for (;;) {
       try {
         await this.store.put(configurationKey, text, { ifRevision }, signal);
         return true;
       } catch (error) {
-        if (!(error instanceof Conflict)) lost ??= error;
+        if (!(error instanceof Conflict)) writeError ??= error;
       }
       try {
         const stored = await this.store.get(configurationKey, signal);
-        // While the key is unchanged a delayed write may still take effect: writing again decides.
+        // While the key is unchanged, a delayed write may still be applied; another write resolves that.
         if ((stored?.revision ?? 0) !== ifRevision) {
-          const now = parseConfiguration(stored?.value ?? '{}');
-          const record = await this.trail.recordOf(now, revision, signal);
+          const current = parseConfiguration(stored?.value ?? '{}');
+          const record = await this.auditTrail.findByRevision(current, revision, signal);
           return record?.changeId === changeId;
         }
       } catch (error) {
         if (!signal.aborted) await this.clock.sleep(retryMs, signal).catch(() => undefined);
-        if (signal.aborted && lost) throw new AcceptanceUnknown(changeId, lost);
+        if (signal.aborted && writeError) throw new AcceptanceUnknown(changeId, writeError);
         if (signal.aborted) throw new NotAccepted('the store did not answer in time.', error);
       }
     }
--- a/packages/entry/src/configurationKeeper.ts
+++ b/packages/entry/src/configurationKeeper.ts
@@ -9,16 +9,16 @@
 /** One of the values of {@link DocumentSource}. */
 export type DocumentSource = (typeof DocumentSource)[keyof typeof DocumentSource];
 
-/** Called with the revision that has come into force. */
-export type Adoption = (revision: number, source: DocumentSource) => void;
+/** Called with each revision that comes into force. */
+export type AdoptionListener = (revision: number, source: DocumentSource) => void;
 
-/** Keeps the newest configuration that the store or any peer has shown; never goes back. */
-export class ConfigurationKeeper implements ConfigurationHolder {
+/** This entry's replica of the configuration: the newest one received; never reverts to an older one. */
+export class ConfigurationReplica implements ConfigurationHolder {
   private current: Configuration = emptyConfiguration;
 
   private text = JSON.stringify(emptyConfiguration);
 
-  private readonly listeners: Adoption[] = [];
+  private readonly listeners: AdoptionListener[] = [];
 
   constructor(
     private readonly metrics: Metrics,
@@ -34,15 +34,16 @@
     return this.text;
   }
 
-  onAdoption(listener: Adoption): void {
+  /** Adds a listener for new revisions. */
+  onAdoption(listener: AdoptionListener): void {
     this.listeners.push(listener);
   }
 
-  /** Takes a document if it is newer. */
+  /** Puts a document in force if it is newer. */
   adopt(text: string, source: DocumentSource = DocumentSource.store): void {
     const configuration = parseConfiguration(text);
     const { revision, changeId } = configuration;
-    this.compare(revision, changeId);
+    this.checkDivergence(revision, changeId);
     if (revision <= this.current.revision) return;
     this.current = configuration;
     this.text = text;
@@ -51,10 +52,13 @@
     this.listeners.forEach((listener) => listener(revision, source));
   }
 
-  /** Notes when the same revision was made by another change; the one in force stays. */
-  compare(revision: number, changeId: string): void {
+  /** Reports a revision that another change made as well; the document in force stays. */
+  checkDivergence(revision: number, changeId: string): void {
     if (revision !== this.current.revision || changeId === this.current.changeId) return;
     this.metrics.count('configuration_diverged');
-    this.log.error('Another change has the same revision.', { revision, changeId });
+    this.log.error('Configurations diverged: another change has the same revision.', {
+      revision,
+      changeId,
+    });
   }
 }
--- a/packages/entry/src/configurationPeers.ts
+++ b/packages/entry/src/configurationPeers.ts
@@ -1,19 +1,19 @@
 import type { Instance } from '@laburnumstream/common';
 
-/** What a peer knows of the configuration. */
-export interface PeerAnswer {
+/** A peer's response to a sync call. */
+export interface SyncResult {
   readonly revision: number;
   readonly changeId: string;
-  /** The document in JSON; empty when the asker is up to date. */
+  /** The document in JSON; empty when the caller is up to date. */
   readonly document: string;
-  /** Time since the peer reached the store, in milliseconds. */
-  readonly silenceMs: number;
+  /** Time since the peer last reached the store, in milliseconds. */
+  readonly storeSilenceMs: number;
 }
 
-/** Calls of other entries about the configuration. */
+/** Calls to other entries about the configuration. */
 export interface ConfigurationPeers {
-  /** Asks for a document newer than a revision. */
-  sync(peer: Instance, revision: number, signal: AbortSignal): Promise<PeerAnswer>;
-  /** Tells of a revision. */
+  /** Requests the peer's document if it is newer than the given revision. */
+  sync(peer: Instance, revision: number, signal: AbortSignal): Promise<SyncResult>;
+  /** Announces a revision to a peer. */
   announce(peer: Instance, revision: number, signal: AbortSignal): Promise<void>;
 }
--- a/packages/entry/src/configurationService.ts
+++ b/packages/entry/src/configurationService.ts
@@ -3,13 +3,13 @@
 import type { LinkPool } from '@laburnumstream/links';
 import type { AnnounceRequest, SyncRequest } from '@laburnumstream/protocol';
 import type { EntrySettings } from '@laburnumstream/runtime';
-import type { ConfigurationKeeper } from './configurationKeeper.js';
-import { ConfigurationSpreader } from './configurationSpreader.js';
+import type { ConfigurationReplica } from './configurationKeeper.js';
+import { ConfigurationReplicator } from './configurationSpreader.js';
 import { ConfigurationWatcher } from './configurationWatcher.js';
-import { LinkedPeers } from './linkedPeers.js';
+import { ConfigurationPeerClient } from './linkedPeers.js';
 
-/** What the spread of the configuration stands on. */
-export interface ConfigurationSurroundings {
+/** Dependencies of the configuration service. */
+export interface ConfigurationDependencies {
   readonly settings: EntrySettings;
   readonly store: KeyValueStore;
   readonly links: LinkPool;
@@ -20,32 +20,32 @@
   readonly log: Log;
 }
 
-/** An entry as its peers see it. */
-function selfOf({ instance: name, region, dataCentre, listen }: EntrySettings): Instance {
+/** The instance record of this entry. */
+function toSelfInstance({ instance: name, region, dataCentre, listen }: EntrySettings): Instance {
   const address = `http://${listen.internal}`;
   const { live: state } = InstanceState;
   return { name, role: InstanceRole.entry, region, dataCentre, address, state };
 }
 
-/** Spreads the configuration and answers other entries' calls about it. */
+/** Replicates the configuration and serves other entries' calls about it. */
 export class ConfigurationService {
-  readonly spreader: ConfigurationSpreader;
+  readonly replicator: ConfigurationReplicator;
 
   private readonly self: Instance;
 
   constructor(
-    private readonly keeper: ConfigurationKeeper,
-    { settings, store, links, entries, clock, random, metrics, log }: ConfigurationSurroundings,
+    private readonly replica: ConfigurationReplica,
+    { settings, store, links, entries, clock, random, metrics, log }: ConfigurationDependencies,
     private readonly signal: AbortSignal,
   ) {
     const { watchMs } = settings.options;
-    const self = selfOf(settings);
+    const self = toSelfInstance(settings);
     this.self = self;
-    this.spreader = new ConfigurationSpreader(
+    this.replicator = new ConfigurationReplicator(
       self,
-      keeper,
-      new ConfigurationWatcher(store, keeper, clock, random, watchMs, metrics, log),
-      new LinkedPeers(links, { name: self.name, address: self.address }),
+      replica,
+      new ConfigurationWatcher(store, replica, clock, random, watchMs, metrics, log),
+      new ConfigurationPeerClient(links, { name: self.name, address: self.address }),
       entries,
       clock,
       random,
@@ -55,22 +55,22 @@
     );
   }
 
-  /** Answers a peer that compares revisions. */
-  sync({ configurationRevision }: SyncRequest) {
-    const { configuration, document } = this.keeper;
+  /** Handles a peer's sync call: returns the document when it is newer than the peer's revision. */
+  handleSync({ configurationRevision }: SyncRequest) {
+    const { configuration, document } = this.replica;
     const { revision, changeId } = configuration;
     return {
       configurationRevision: BigInt(revision),
       document: revision > Number(configurationRevision) ? document : '',
       changeId,
-      storeSilenceMs: Math.round(this.spreader.silenceMs),
+      storeSilenceMs: Math.round(this.replicator.storeSilenceMs),
     };
   }
 
-  /** Takes a peer's news of a revision. */
-  announce({ configurationRevision, name, address }: AnnounceRequest) {
-    const teller = { ...this.self, name, address };
-    void this.spreader.heard(teller, Number(configurationRevision), this.signal);
+  /** Handles a peer's announcement of a revision. */
+  handleAnnounce({ configurationRevision, name, address }: AnnounceRequest) {
+    const sender = { ...this.self, name, address };
+    void this.replicator.handleAnnouncement(sender, Number(configurationRevision), this.signal);
     return {};
   }
 }
--- a/packages/entry/src/configurationSpreader.ts
+++ b/packages/entry/src/configurationSpreader.ts
@@ -2,30 +2,35 @@
 import type { Clock, Instance, Log, Metrics, Random } from '@laburnumstream/common';
 import { Spread } from '@laburnumstream/decisions';
 import { DocumentSource } from './configurationKeeper.js';
-import type { ConfigurationKeeper } from './configurationKeeper.js';
+import type { ConfigurationReplica } from './configurationKeeper.js';
 import type { ConfigurationPeers } from './configurationPeers.js';
 import type { ConfigurationWatcher } from './configurationWatcher.js';
 
-const roundMs = 1_000;
-/** Time between rounds of an entry that has no configuration yet. */
-const newcomerRoundMs = 200;
+const roundIntervalMs = 1_000;
+/** Time between sync rounds of an entry that has no configuration yet. */
+const uninitializedRoundIntervalMs = 200;
+/** Time for which a peer that did not respond is skipped. */
 const suspectMs = 8_000;
-/** Time beyond a whole watch after which the store counts as silent. */
+/** Time beyond the duration of a watch after which the store counts as silent. */
 const silenceGraceMs = 2_000;
-/** Most generations of silent peers whose tellees are told in their place. */
-const mostSkips = 3;
+/** Maximum number of levels of unresponsive peers that an announcement skips in its tree. */
+const maxSkippedLevels = 3;
 
-/** Spreads the configuration between entries: watches, rounds of comparison and announcements. */
-export class ConfigurationSpreader {
-  private readonly spread: Spread;
+/**
+ * Replicates the configuration between entries: some watch the store, all compare revisions with a few
+ * peers in each round, and new revisions are announced along a tree.
+ */
+export class ConfigurationReplicator {
+  private readonly topology: Spread;
 
-  private watching: AbortController | undefined;
+  private watchAbort: AbortController | undefined;
 
-  private pulled = 0;
+  /** Highest announced revision that is being fetched or was fetched from a peer. */
+  private pulledRevision = 0;
 
   constructor(
     self: Instance,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly replica: ConfigurationReplica,
     private readonly watcher: ConfigurationWatcher,
     private readonly peers: ConfigurationPeers,
     private readonly entries: () => readonly Instance[],
@@ -35,115 +40,126 @@
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {
-    const times = { suspectMs, silenceMs: watchMs + silenceGraceMs };
-    this.spread = new Spread(self, times, random, clock.now());
+    const timeouts = { suspectMs, silenceMs: watchMs + silenceGraceMs };
+    this.topology = new Spread(self, timeouts, random, clock.now());
   }
 
+  /** Whether this entry watches the store. */
   get isWatching(): boolean {
-    return this.watching !== undefined;
+    return this.watchAbort !== undefined;
   }
 
-  /** Time since this entry reached the store, in milliseconds. */
-  get silenceMs(): number {
-    return this.spread.silenceMs(this.clock.now());
+  /** Time since this entry last reached the store, in milliseconds. */
+  get storeSilenceMs(): number {
+    return this.topology.silenceMs(this.clock.now());
   }
 
-  /** Runs rounds until the signal fires. */
+  /** Runs sync rounds until the signal fires. */
   async run(signal: AbortSignal): Promise<void> {
-    this.keeper.onAdoption((revision, source) => {
-      void this.tell(revision, source, signal);
+    this.replica.onAdoption((revision, source) => {
+      void this.announce(revision, source, signal);
     });
     while (!signal.aborted) {
-      this.spread.setMembers(this.entries());
-      this.decideWatch(signal);
-      const isNewcomer = this.keeper.configuration.revision === 0;
-      this.compareWithPeers(isNewcomer, signal);
-      const pauseMs = (isNewcomer ? newcomerRoundMs : roundMs) * (0.8 + 0.4 * this.random.next());
+      this.topology.setMembers(this.entries());
+      this.updateWatch(signal);
+      const isUninitialized = this.replica.configuration.revision === 0;
+      this.syncWithPeers(isUninitialized, signal);
+      const pauseMs =
+        (isUninitialized ? uninitializedRoundIntervalMs : roundIntervalMs) *
+        (0.8 + 0.4 * this.random.next());
       await this.clock.sleep(pauseMs, signal).catch(() => undefined);
     }
   }
 
-  /** A peer tells of a revision: reads the document from it when it is newer. */
-  async heard(teller: Instance, revision: number, signal: AbortSignal): Promise<void> {
-    if (revision <= Math.max(this.keeper.configuration.revision, this.pulled)) return;
-    this.pulled = revision;
-    const isRead = await this.compareWith(teller, signal);
-    if (!isRead && this.pulled === revision) this.pulled = 0;
+  /** Fetches the document from a peer that announced a revision newer than the one in force. */
+  async handleAnnouncement(sender: Instance, revision: number, signal: AbortSignal): Promise<void> {
+    if (revision <= Math.max(this.replica.configuration.revision, this.pulledRevision)) return;
+    this.pulledRevision = revision;
+    const isSynced = await this.syncWith(sender, signal);
+    if (!isSynced && this.pulledRevision === revision) this.pulledRevision = 0;
   }
 
-  /** Asks several peers for a newer configuration at once; ends with the first answer. */
+  /** Asks several peers at once for a newer configuration; resolves with the first response. */
   async refresh(signal: AbortSignal): Promise<void> {
-    this.spread.setMembers(this.entries());
-    const answers = this.peersOf(this.spread.round(true, this.clock.now())).map(async (peer) => {
-      if (!(await this.compareWith(peer, signal)))
-        throw new Timeout(`${peer.name} did not answer.`);
-    });
-    await Promise.any(answers).catch(() => undefined);
+    this.topology.setMembers(this.entries());
+    const syncs = this.resolvePeers(this.topology.round(true, this.clock.now())).map(
+      async (peer) => {
+        if (!(await this.syncWith(peer, signal))) throw new Timeout(`${peer.name} did not answer.`);
+      },
+    );
+    await Promise.any(syncs).catch(() => undefined);
   }
 
-  private peersOf(members: readonly { readonly name: string }[]): Instance[] {
+  private resolvePeers(members: readonly { readonly name: string }[]): Instance[] {
     const known = this.entries();
     return members.flatMap(({ name }) => known.find((entry) => entry.name === name) ?? []);
   }
 
-  private decideWatch(signal: AbortSignal): void {
-    const shouldWatch = this.spread.shouldWatch(this.clock.now());
+  private updateWatch(signal: AbortSignal): void {
+    const shouldWatch = this.topology.shouldWatch(this.clock.now());
     if (shouldWatch === this.isWatching) return;
     this.metrics.gauge('configuration_watching', shouldWatch ? 1 : 0);
-    this.watching?.abort();
-    this.watching = undefined;
+    this.watchAbort?.abort();
+    this.watchAbort = undefined;
     if (!shouldWatch) return;
-    this.watching = new AbortController();
-    const until = AbortSignal.any([signal, this.watching.signal]);
-    void this.watcher.run(() => this.spread.reachedStore(this.clock.now()), until);
+    this.watchAbort = new AbortController();
+    const watchSignal = AbortSignal.any([signal, this.watchAbort.signal]);
+    void this.watcher.run(() => this.topology.reachedStore(this.clock.now()), watchSignal);
     this.log.debug('Watching the store.');
   }
 
-  private compareWithPeers(isNewcomer: boolean, signal: AbortSignal): void {
-    const peers = this.peersOf(this.spread.round(isNewcomer, this.clock.now()));
-    peers.forEach((peer) => void this.compareWith(peer, signal));
+  private syncWithPeers(isUninitialized: boolean, signal: AbortSignal): void {
+    const peers = this.resolvePeers(this.topology.round(isUninitialized, this.clock.now()));
+    peers.forEach((peer) => void this.syncWith(peer, signal));
   }
 
-  private async compareWith(peer: Instance, signal: AbortSignal): Promise<boolean> {
+  private async syncWith(peer: Instance, signal: AbortSignal): Promise<boolean> {
     try {
-      const answer = await this.peers.sync(peer, this.keeper.configuration.revision, signal);
-      this.spread.answered(peer, answer.silenceMs, this.clock.now());
-      if (answer.document) this.keeper.adopt(answer.document, DocumentSource.peer);
-      else this.keeper.compare(answer.revision, answer.changeId);
+      const result = await this.peers.sync(peer, this.replica.configuration.revision, signal);
+      this.topology.answered(peer, result.storeSilenceMs, this.clock.now());
+      if (result.document) this.replica.adopt(result.document, DocumentSource.peer);
+      else this.replica.checkDivergence(result.revision, result.changeId);
       return true;
     } catch (error) {
-      this.suspect(peer, error);
+      this.recordPeerFailure(peer, error);
       return false;
     }
   }
 
-  private suspect(peer: Instance, error: unknown): void {
-    this.spread.failed(peer, this.clock.now());
+  private recordPeerFailure(peer: Instance, error: unknown): void {
+    this.topology.failed(peer, this.clock.now());
     this.metrics.count('configuration_peer_failed');
-    this.log.debug('A peer gave no answer.', { peer: peer.name, type: toFailure(error).type });
+    this.log.debug('Configuration peer did not respond.', {
+      peer: peer.name,
+      type: toFailure(error).type,
+    });
   }
 
-  private async tell(revision: number, source: DocumentSource, signal: AbortSignal): Promise<void> {
-    const tellees = this.spread.tellees(revision, source === DocumentSource.store);
-    await this.tellAll(tellees, revision, mostSkips, signal);
+  private async announce(
+    revision: number,
+    source: DocumentSource,
+    signal: AbortSignal,
+  ): Promise<void> {
+    const recipients = this.topology.tellees(revision, source === DocumentSource.store);
+    await this.announceTo(recipients, revision, maxSkippedLevels, signal);
   }
 
-  /** Tells peers of a revision; in the place of a silent peer tells those that it would have told. */
-  private async tellAll(
-    tellees: readonly { readonly name: string }[],
+  /** Announces a revision to peers; for an unresponsive one, to the peers below it in the tree. */
+  private async announceTo(
+    recipients: readonly { readonly name: string }[],
     revision: number,
-    skips: number,
+    levelsToSkip: number,
     signal: AbortSignal,
   ): Promise<void> {
     await Promise.all(
-      this.peersOf(tellees).map(async (peer) => {
+      this.resolvePeers(recipients).map(async (peer) => {
         try {
           await this.peers.announce(peer, revision, signal);
         } catch (error) {
           if (signal.aborted) return;
-          this.suspect(peer, error);
-          const next = this.spread.telleesOf(peer, revision);
-          if (skips > 0) await this.tellAll(next, revision, skips - 1, signal);
+          this.recordPeerFailure(peer, error);
+          const children = this.topology.telleesOf(peer, revision);
+          if (levelsToSkip > 0) await this.announceTo(children, revision, levelsToSkip - 1, signal);
         }
       }),
     );
--- a/packages/entry/src/configurationWatcher.ts
+++ b/packages/entry/src/configurationWatcher.ts
@@ -8,18 +8,18 @@
   StoredValue,
 } from '@laburnumstream/common';
 import { configurationKey, parseConfiguration } from '@laburnumstream/decisions';
-import type { ConfigurationKeeper } from './configurationKeeper.js';
+import type { ConfigurationReplica } from './configurationKeeper.js';
 
-const firstRetryMs = 250;
-const longestRetryMs = 4_000;
+const initialRetryMs = 250;
+const maxRetryMs = 4_000;
 
-/** Watches the store and repairs it when it has lost revisions that are in force. */
+/** Watches the store and rewrites the document when the store has lost revisions in force. */
 export class ConfigurationWatcher {
-  private retryMs = firstRetryMs;
+  private retryMs = initialRetryMs;
 
   constructor(
     private readonly store: KeyValueStore,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly replica: ConfigurationReplica,
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly watchMs: number,
@@ -27,53 +27,56 @@
     private readonly log: Log,
   ) {}
 
-  /** Watches until the signal fires; `reached` is called whenever the store has answered. */
-  async run(reached: () => void, signal: AbortSignal): Promise<void> {
-    this.retryMs = firstRetryMs;
+  /** Watches until the signal fires; calls `onStoreReached` for each response of the store. */
+  async run(onStoreReached: () => void, signal: AbortSignal): Promise<void> {
+    this.retryMs = initialRetryMs;
     while (!signal.aborted) {
       try {
-        await this.cycle(reached, signal);
-        this.retryMs = firstRetryMs;
+        await this.readAndWatch(onStoreReached, signal);
+        this.retryMs = initialRetryMs;
       } catch (error) {
         if (signal.aborted) return;
         this.log.warn('The store is out of reach.', { type: toFailure(error).type });
         this.metrics.count('configuration_store_failed');
-        await this.pause(signal);
+        await this.backOff(signal);
       }
     }
   }
 
-  /** Reads the document, as a restored store may count from an older revision, then watches it. */
-  private async cycle(reached: () => void, signal: AbortSignal): Promise<void> {
+  /** Reads the document, since a restored store may be at an older revision, then watches it. */
+  private async readAndWatch(onStoreReached: () => void, signal: AbortSignal): Promise<void> {
     let stored = await this.store.get(configurationKey, signal);
-    reached();
-    await this.take(stored, signal);
+    onStoreReached();
+    await this.applyStored(stored, signal);
     do {
-      const after = stored?.revision ?? 0;
-      stored = await this.store.watch(configurationKey, after, this.watchMs, signal);
-      reached();
-      if (stored) await this.take(stored, signal);
+      const afterRevision = stored?.revision ?? 0;
+      stored = await this.store.watch(configurationKey, afterRevision, this.watchMs, signal);
+      onStoreReached();
+      if (stored) await this.applyStored(stored, signal);
     } while (stored && !signal.aborted);
   }
 
-  private async take(stored: StoredValue | undefined, signal: AbortSignal): Promise<void> {
-    if (stored) this.keeper.adopt(stored.value);
-    const { revision } = this.keeper.configuration;
+  private async applyStored(stored: StoredValue | undefined, signal: AbortSignal): Promise<void> {
+    if (stored) this.replica.adopt(stored.value);
+    const { revision } = this.replica.configuration;
     const storedRevision = stored ? parseConfiguration(stored.value).revision : 0;
     if (storedRevision >= revision) return;
-    this.log.error('The store lost revisions; writing them again.', { revision, storedRevision });
+    this.log.error('The store has lost revisions; rewriting the document.', {
+      revision,
+      storedRevision,
+    });
     this.metrics.count('configuration_store_behind');
     const condition = { ifRevision: stored?.revision ?? 0 };
     try {
-      await this.store.put(configurationKey, this.keeper.document, condition, signal);
+      await this.store.put(configurationKey, this.replica.document, condition, signal);
     } catch (error) {
       if (!(error instanceof Conflict)) throw error;
     }
   }
 
-  private async pause(signal: AbortSignal): Promise<void> {
-    const spreadOut = 0.5 + this.random.next();
-    await this.clock.sleep(this.retryMs * spreadOut, signal).catch(() => undefined);
-    this.retryMs = Math.min(longestRetryMs, this.retryMs * 2);
+  private async backOff(signal: AbortSignal): Promise<void> {
+    const jitter = 0.5 + this.random.next();
+    await this.clock.sleep(this.retryMs * jitter, signal).catch(() => undefined);
+    this.retryMs = Math.min(maxRetryMs, this.retryMs * 2);
   }
 }
--- a/packages/entry/src/convictionRoutes.ts
+++ b/packages/entry/src/convictionRoutes.ts
@@ -1,18 +1,21 @@
 import { InvalidInput } from '@laburnumstream/common';
 import type { CrashGuard } from './crashGuard.js';
-import { changing, reading } from './operatorRoutes.js';
+import { operatorRoute, viewerRoute } from './operatorRoutes.js';
 import type { OperatorCall, Route } from './operatorRoutes.js';
 
-async function lift(guard: CrashGuard, { by, parameter }: OperatorCall): Promise<unknown> {
-  if (!by.reason.trim()) throw new InvalidInput('Each change needs a written reason.');
-  await guard.lift(parameter, `${by.author}: ${by.reason}`);
+async function liftConviction(
+  guard: CrashGuard,
+  { attribution, parameter }: OperatorCall,
+): Promise<unknown> {
+  if (!attribution.reason.trim()) throw new InvalidInput('Each change needs a written reason.');
+  await guard.lift(parameter, `${attribution.author}: ${attribution.reason}`);
   return { lifted: parameter };
 }
 
-/** Routes of the administration API on requests that crash endpoints. */
-export function convictionRoutes(guard: CrashGuard): Route[] {
+/** Administration API routes for convictions of requests that crash endpoints. */
+export function getConvictionRoutes(guard: CrashGuard): Route[] {
   return [
-    reading('convictions', () => guard.convictions()),
-    changing('DELETE', 'convictions/([^/]+)', (call) => lift(guard, call)),
+    viewerRoute('convictions', () => guard.convictions()),
+    operatorRoute('DELETE', 'convictions/([^/]+)', (call) => liftConviction(guard, call)),
   ];
 }
--- a/packages/entry/src/crashGuard.ts
+++ b/packages/entry/src/crashGuard.ts
@@ -6,29 +6,29 @@
 import type { LinkPool } from '@laburnumstream/links';
 import { EntryService } from '@laburnumstream/protocol';
 
-const exchangeMs = 2_000;
-/** Longest time for which an answer waits until other entries know a verdict. */
-const spreadMs = 250;
+const exchangeIntervalMs = 2_000;
+/** Maximum time for which a request waits until the other entries know a verdict. */
+const broadcastWaitMs = 250;
 
-/** Keeps requests that crash endpoints away from them, together with all other entries. */
+/** Refuses requests that crash endpoints; shares the verdicts on them with all other entries. */
 export class CrashGuard {
-  private readonly book: VerdictBook;
+  private readonly verdicts: VerdictBook;
 
   constructor(
     private readonly links: LinkPool,
     private readonly peers: () => readonly Instance[],
     private readonly clock: Clock,
     private readonly random: Random,
-    keepMs: number,
+    retentionMs: number,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {
-    this.book = new VerdictBook(keepMs);
+    this.verdicts = new VerdictBook(retentionMs);
   }
 
-  /** Whether the request must run alone; throws `CrashingRequest` when it must not run. */
+  /** Whether the request must run alone; throws `CrashingRequest` when it has been convicted. */
   mustRunAlone({ fingerprint }: Suspect): boolean {
-    const state = this.book.stateOf(fingerprint, this.clock.now());
+    const state = this.verdicts.stateOf(fingerprint, this.clock.now());
     if (state === VerdictState.convicted) {
       this.metrics.count('requests_refused_as_crashing');
       throw new CrashingRequest(Execution.notRun);
@@ -36,70 +36,75 @@
     return state === VerdictState.suspect;
   }
 
-  /** An endpoint was lost under a request: tells the other entries before the request goes on. */
-  async lost(suspect: Suspect, loss: Loss, alone: boolean): Promise<void> {
-    await this.spread(this.book.lost(suspect, loss, alone, this.clock.now()));
+  /**
+   * Records that an endpoint was lost while it ran the request. Other entries get the verdict before
+   * the request is retried.
+   */
+  async recordLoss(suspect: Suspect, loss: Loss, alone: boolean): Promise<void> {
+    await this.broadcast(this.verdicts.lost(suspect, loss, alone, this.clock.now()));
   }
 
-  /** A suspect ended well while it ran alone. */
-  async survived(suspect: Suspect): Promise<void> {
-    await this.spread(this.book.survived(suspect, this.clock.now()));
+  /** Records that a suspect completed while it ran alone. */
+  async recordSurvival(suspect: Suspect): Promise<void> {
+    await this.broadcast(this.verdicts.survived(suspect, this.clock.now()));
   }
 
   /** The convictions in force. */
   convictions(): SharedVerdict[] {
     const { convicted } = VerdictState;
-    return this.book.share(this.clock.now()).filter(({ state }) => state === convicted);
+    return this.verdicts.share(this.clock.now()).filter(({ state }) => state === convicted);
   }
 
   /** Lifts a conviction; throws `NotFound`. */
   async lift(fingerprint: string, reason: string): Promise<void> {
-    const verdict = this.book.lift(fingerprint, reason, this.clock.now());
+    const verdict = this.verdicts.lift(fingerprint, reason, this.clock.now());
     if (!verdict) throw new NotFound(`There is no conviction of ${fingerprint}.`);
-    await this.spread(verdict);
+    await this.broadcast(verdict);
   }
 
-  /** Takes another entry's verdicts and returns those that it lacks. */
-  exchange(theirs: readonly SharedVerdict[]): SharedVerdict[] {
+  /** Merges another entry's verdicts; returns those that it lacks or has in an older version. */
+  mergeVerdicts(theirs: readonly SharedVerdict[]): SharedVerdict[] {
     const now = this.clock.now();
-    this.book.merge(theirs, now);
+    this.verdicts.merge(theirs, now);
     const versions = new Map(theirs.map(({ fingerprint, version }) => [fingerprint, version]));
-    return this.book
+    return this.verdicts
       .share(now)
       .filter(({ fingerprint, version }) => version > (versions.get(fingerprint) ?? 0));
   }
 
-  /** Compares verdicts with a random entry again and again, for those that missed a message. */
+  /** Periodically exchanges verdicts with a random entry, so that missed broadcasts are repaired. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const peers = this.peers();
       const peer = peers[Math.floor(this.random.next() * peers.length)];
-      if (peer) await this.send(peer, this.book.share(this.clock.now()));
-      await this.clock.sleep(exchangeMs, signal).catch(() => undefined);
+      if (peer) await this.exchangeWith(peer, this.verdicts.share(this.clock.now()));
+      await this.clock.sleep(exchangeIntervalMs, signal).catch(() => undefined);
     }
   }
 
-  private async spread(verdict: Verdict | undefined): Promise<void> {
+  private async broadcast(verdict: Verdict | undefined): Promise<void> {
     if (!verdict) return;
     const { fingerprint, state, service, workspace } = verdict;
     this.metrics.count(`verdicts_${state}`);
-    this.log.info('Verdict on a request.', { fingerprint, state, service, workspace });
+    this.log.info('Request verdict changed.', { fingerprint, state, service, workspace });
     const { endsAt, ...rest } = verdict;
     const remainingMs = Math.ceil(endsAt - this.clock.now());
-    const sent = this.peers().map((peer) => this.send(peer, [{ ...rest, remainingMs }]));
-    const waited = new AbortController();
-    const late = this.clock.sleep(spreadMs, waited.signal).catch(() => undefined);
-    await Promise.race([Promise.all(sent), late]);
-    waited.abort();
+    const exchanges = this.peers().map((peer) =>
+      this.exchangeWith(peer, [{ ...rest, remainingMs }]),
+    );
+    const timer = new AbortController();
+    const timeout = this.clock.sleep(broadcastWaitMs, timer.signal).catch(() => undefined);
+    await Promise.race([Promise.all(exchanges), timeout]);
+    timer.abort();
   }
 
-  private async send(peer: Instance, verdicts: SharedVerdict[]): Promise<void> {
+  private async exchangeWith(peer: Instance, verdicts: SharedVerdict[]): Promise<void> {
     try {
       const client = createClient(EntryService, this.links.to(peer.address));
-      const answer = await client.shareVerdicts({ verdicts }, { timeoutMs: exchangeMs });
-      this.book.merge(answer.verdicts, this.clock.now());
+      const response = await client.shareVerdicts({ verdicts }, { timeoutMs: exchangeIntervalMs });
+      this.verdicts.merge(response.verdicts, this.clock.now());
     } catch (error) {
-      this.log.debug('Verdicts not exchanged.', { peer: peer.name, reason: String(error) });
+      this.log.debug('Verdict exchange failed.', { peer: peer.name, reason: String(error) });
     }
   }
 }
--- a/packages/entry/src/directory.ts
+++ b/packages/entry/src/directory.ts
@@ -4,8 +4,8 @@
 import { toRecord } from '@laburnumstream/links';
 import type { EndpointLoad, Member } from '@laburnumstream/protocol';
 
-/** What this entry adds to an agent's record: the load last reported. */
-interface Work {
+/** The load last reported by an incarnation of an agent. */
+interface ReportedLoad {
   incarnation: number;
   inFlight: number;
   queued: number;
@@ -23,64 +23,65 @@
   readonly load: { readonly inFlight: number; readonly limit: number; readonly queued: number };
 }
 
-/** Times that the directory judges by, in milliseconds. */
-export interface DirectoryTimes {
+/** Timeouts of the failure detection and the ramp after a return, in milliseconds. */
+export interface MemberDirectoryTimeouts {
   readonly memberTimeoutMs: number;
   readonly dataCentreTimeoutMs: number;
   readonly returnRampMs: number;
 }
 
-const firstLimit = 1;
+const initialLimit = 1;
 const retentionMs = 600_000;
-/** Share of the timeout after which a silent agent gets no new work. */
-const suspectShare = 0.75;
+/** Fraction of the member timeout after which a silent agent gets no new work. */
+const suspectRatio = 0.75;
 
-/** What this entry knows of the members, from heartbeats, other entries and loads on replies. */
-export class Directory {
+/** The members known to this entry, from heartbeats, other entries and loads in responses. */
+export class MemberDirectory {
   readonly members: Membership;
 
-  private readonly work = new Map<string, Work>();
+  private readonly loads = new Map<string, ReportedLoad>();
 
-  /** Agents that could not be reached from here, with the incarnation that failed. */
-  private readonly unreachable = new Map<string, number>();
+  /** Agents that this entry could not reach, with the incarnation that it tried. */
+  private readonly unreachableIncarnations = new Map<string, number>();
 
   private readonly ramp: ReturnRamp;
 
-  private byService = new Map<string, MemberRecord[]>();
+  private agentsByService = new Map<string, MemberRecord[]>();
 
-  private indexed = -1;
+  /** Membership revision for which `agentsByService` was built. */
+  private indexedRevision = -1;
 
   constructor(
     private readonly clock: Clock,
     dataCentre: string,
-    times: DirectoryTimes,
+    timeouts: MemberDirectoryTimeouts,
     private readonly random: Random,
   ) {
-    const { memberTimeoutMs: timeoutMs, dataCentreTimeoutMs, returnRampMs } = times;
-    const suspectMs = timeoutMs * suspectShare;
+    const { memberTimeoutMs: timeoutMs, dataCentreTimeoutMs, returnRampMs } = timeouts;
+    const suspectMs = timeoutMs * suspectRatio;
     const bounds = { suspectMs, timeoutMs, dataCentreTimeoutMs, retentionMs };
     this.members = new Membership(dataCentre, bounds);
     this.ramp = new ReturnRamp(returnRampMs);
   }
 
-  /** Takes a heartbeat; returns the newest incarnation known of the member. */
-  beat(member: Member): number {
+  /** Records a member's heartbeat; returns the newest known incarnation of the member. */
+  recordHeartbeat(member: Member): number {
     const record = toRecord(member);
     const known = this.members.hear(record, this.clock.now());
-    if (known === record.incarnation) this.note(record, member.load);
+    if (known === record.incarnation) this.recordLoad(record, member.load);
     return known;
   }
 
-  /** Takes a record from another entry. */
-  learn(member: Member): void {
+  /** Merges a record received from another entry. */
+  mergeRecord(member: Member): void {
     const record = toRecord(member);
-    if (this.members.learn(record, this.clock.now())) this.note(record, undefined);
+    if (this.members.learn(record, this.clock.now())) this.recordLoad(record, undefined);
   }
 
-  /** Takes the load that came with a reply. */
-  observe({ instance, inFlight, limit, queued }: EndpointLoad): void {
-    const work = this.work.get(instance);
-    if (work) Object.assign(work, { inFlight, limit, queued });
+  /** Updates an agent's load from a response. */
+  updateLoad({ instance, inFlight, limit, queued }: EndpointLoad): void {
+    const known = this.loads.get(instance);
+    if (known) Object.assign(known, { inFlight, limit, queued });
   }
 
   /** Whether an agent's endpoint serves the weights with this digest. */
@@ -88,128 +89,131 @@
     return this.members.get(name)?.serving.includes(digest) ?? false;
   }
 
-  addressOf(name: string): string | undefined {
+  getAddress(name: string): string | undefined {
     return this.members.get(name)?.address;
   }
 
-  /** An agent could not be reached: leave it out until a probe reaches it or it starts anew. */
-  suspect(name: string): void {
-    this.unreachable.set(name, this.members.get(name)?.incarnation ?? 0);
+  /** Excludes an agent that could not be reached, until a probe reaches it or it restarts. */
+  markUnreachable(name: string): void {
+    this.unreachableIncarnations.set(name, this.members.get(name)?.incarnation ?? 0);
   }
 
-  /** Agents that are left out because they could not be reached from here. */
-  get suspects(): readonly string[] {
-    return [...this.unreachable.keys()];
+  /** Agents that are excluded because this entry could not reach them. */
+  get unreachableAgents(): readonly string[] {
+    return [...this.unreachableIncarnations.keys()];
   }
 
-  /** A probe reached the agent, or there is no use in trying on. */
-  clear(name: string): void {
-    this.unreachable.delete(name);
+  /** Ends an agent's exclusion: a probe reached it or its address is no longer known. */
+  clearUnreachable(name: string): void {
+    this.unreachableIncarnations.delete(name);
   }
 
-  /** Notes which data centres are in, so that returned ones start with little work. */
-  refresh(isIn: (dataCentre: string) => boolean): void {
+  /** Records which data centres are in service; one that returns ramps up from little work. */
+  updateRamps(isIn: (dataCentre: string) => boolean): void {
     const now = this.clock.now();
-    const centres = new Set(this.members.present().map(({ dataCentre }) => dataCentre));
-    centres.forEach((dataCentre) => {
-      if (this.ramp.update(dataCentre, isIn(dataCentre), now)) this.turnCold(dataCentre);
+    const dataCentres = new Set(this.members.present().map(({ dataCentre }) => dataCentre));
+    dataCentres.forEach((dataCentre) => {
+      if (this.ramp.update(dataCentre, isIn(dataCentre), now)) this.resetLimits(dataCentre);
     });
   }
 
-  /** Whether a returned data centre gets only a part of its work, so that candidates vary. */
+  /** Whether a data centre is ramping up, so that `candidates` varies from call to call. */
   get isRamping(): boolean {
     const now = this.clock.now();
     return this.members.present().some(({ dataCentre }) => this.ramp.share(dataCentre, now) < 1);
   }
 
-  /** The agents that may get new work of a service. */
+  /** The agents of a service that may get new work. */
   candidates(service: string, isOpen: (dataCentre: string) => boolean): Candidate[] {
     const now = this.clock.now();
-    const open = this.agentsOf(service).filter(
+    const open = this.getAgents(service).filter(
       ({ name, dataCentre }) =>
         isOpen(dataCentre) &&
-        !this.unreachable.has(name) &&
+        !this.unreachableIncarnations.has(name) &&
         this.members.standing(name, now) === Standing.alive,
     );
-    const held = this.heldBack(open, now);
-    const admitted = held.size > 0 ? open.filter((agent) => !held.has(agent.dataCentre)) : open;
-    return (admitted.length > 0 ? admitted : open).map((agent) => this.candidateOf(agent));
+    const withheld = this.selectWithheld(open, now);
+    const admitted =
+      withheld.size > 0 ? open.filter((agent) => !withheld.has(agent.dataCentre)) : open;
+    return (admitted.length > 0 ? admitted : open).map((agent) => this.toCandidate(agent));
   }
 
   /** All agents that are not gone. */
-  get live(): readonly LiveMember[] {
+  get liveMembers(): readonly LiveMember[] {
     return this.members
       .present()
       .filter(({ role }) => role === 'agent')
       .map(({ name, dataCentre, service, state, serving, unfit }) => {
-        const { inFlight, limit, queued } = this.workOf(name);
+        const { inFlight, limit, queued } = this.getLoad(name);
         const leaving = state === MemberState.leaving;
         const load = { inFlight, limit, queued };
-        const suspect = unfit ? { unfit } : {};
-        return { name, dataCentre, service, leaving, serving, load, ...suspect };
+        const report = unfit ? { unfit } : {};
+        return { name, dataCentre, service, leaving, serving, load, ...report };
       });
   }
 
-  private note(record: MemberRecord, load: Partial<EndpointLoad> | undefined): void {
+  private recordLoad(record: MemberRecord, load: Partial<EndpointLoad> | undefined): void {
     if (record.role !== 'agent') return;
     const { name, incarnation, state, limit } = record;
-    if (state === MemberState.gone) this.unreachable.delete(name);
-    const known = this.work.get(name);
+    if (state === MemberState.gone) this.unreachableIncarnations.delete(name);
+    const known = this.loads.get(name);
     if (!known || known.incarnation < incarnation) {
       const inFlight = load?.inFlight ?? 0;
-      this.work.set(name, { incarnation, inFlight, queued: 0, limit });
-      const failed = this.unreachable.get(name);
-      if (failed !== undefined && failed < incarnation) this.unreachable.delete(name);
+      this.loads.set(name, { incarnation, inFlight, queued: 0, limit });
+      const unreached = this.unreachableIncarnations.get(name);
+      if (unreached !== undefined && unreached < incarnation)
+        this.unreachableIncarnations.delete(name);
     } else if (load) {
       const { inFlight = 0, queued = 0 } = load;
       Object.assign(known, { inFlight, queued, limit });
     }
   }
 
-  private workOf(name: string): Work {
-    const none = { incarnation: 0, inFlight: 0, queued: 0, limit: firstLimit };
-    return this.work.get(name) ?? none;
+  private getLoad(name: string): ReportedLoad {
+    const unknown = { incarnation: 0, inFlight: 0, queued: 0, limit: initialLimit };
+    return this.loads.get(name) ?? unknown;
   }
 
-  private candidateOf({ name, dataCentre, region }: MemberRecord): Candidate {
-    const { inFlight, queued, limit } = this.workOf(name);
-    // Waiting requests count as one unit each, so that endpoints with a queue count as full.
+  private toCandidate({ name, dataCentre, region }: MemberRecord): Candidate {
+    const { inFlight, queued, limit } = this.getLoad(name);
+    // Queued requests count as one work unit each, so that an endpoint with a queue counts as full.
     return { name, dataCentre, region, reported: inFlight + queued, limit };
   }
 
-  /** The returned data centres that are passed over this time. */
-  private heldBack(open: readonly MemberRecord[], now: number): ReadonlySet<string> {
-    const held = new Set<string>();
+  /** Data centres to skip this time: a ramping one is admitted with its current share as probability. */
+  private selectWithheld(open: readonly MemberRecord[], now: number): ReadonlySet<string> {
+    const withheld = new Set<string>();
     const seen = new Set<string>();
     open.forEach(({ dataCentre }) => {
       if (seen.has(dataCentre)) return;
       seen.add(dataCentre);
       const share = this.ramp.share(dataCentre, now);
-      if (share < 1 && this.random.next() >= share) held.add(dataCentre);
+      if (share < 1 && this.random.next() >= share) withheld.add(dataCentre);
     });
-    return held;
+    return withheld;
   }
 
-  private turnCold(dataCentre: string): void {
+  /** Resets admission limits after a data centre's return, as its endpoints are cold. */
+  private resetLimits(dataCentre: string): void {
     this.members.present().forEach((record) => {
-      const work = this.work.get(record.name);
-      if (work && record.dataCentre === dataCentre) work.limit = firstLimit;
+      const load = this.loads.get(record.name);
+      if (load && record.dataCentre === dataCentre) load.limit = initialLimit;
     });
   }
 
-  private agentsOf(service: string): readonly MemberRecord[] {
-    if (this.indexed !== this.members.revision) this.index();
-    return this.byService.get(service) ?? [];
+  private getAgents(service: string): readonly MemberRecord[] {
+    if (this.indexedRevision !== this.members.revision) this.rebuildIndex();
+    return this.agentsByService.get(service) ?? [];
   }
 
-  private index(): void {
-    this.byService = new Map();
+  private rebuildIndex(): void {
+    this.agentsByService = new Map();
     this.members.present().forEach((record) => {
       if (record.role !== 'agent') return;
-      const agents = this.byService.get(record.service) ?? [];
+      const agents = this.agentsByService.get(record.service) ?? [];
       agents.push(record);
-      this.byService.set(record.service, agents);
+      this.agentsByService.set(record.service, agents);
     });
-    this.indexed = this.members.revision;
+    this.indexedRevision = this.members.revision;
   }
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -25,15 +25,15 @@
 } from '@laburnumstream/clients';
 import { EntryService } from '@laburnumstream/protocol';
 import type { Member } from '@laburnumstream/protocol';
-import { AttemptReader } from './attempt.js';
+import { AttemptRunner } from './attempt.js';
 import { CallerServer } from './callerServer.js';
 import { ConfigurationEditor } from './configurationEditor.js';
-import { ConfigurationKeeper } from './configurationKeeper.js';
+import { ConfigurationReplica } from './configurationKeeper.js';
 import { ConfigurationService } from './configurationService.js';
-import { convictionRoutes } from './convictionRoutes.js';
+import { getConvictionRoutes } from './convictionRoutes.js';
 import { CrashGuard } from './crashGuard.js';
-import { Directory } from './directory.js';
-import { MemberExchange } from './memberExchange.js';
+import { MemberDirectory } from './directory.js';
+import { MembershipGossip } from './memberExchange.js';
 import { OperatorHandlers } from './operatorHandlers.js';
 import { OperatorServer } from './operatorServer.js';
 import { RollOutGuard } from './rollOutGuard.js';
@@ -42,14 +42,14 @@
 import { Router } from './router.js';
 
 const drainPollMs = 20;
-/** Time in which connections that have no call are closed by both ends, in milliseconds. */
-const goodbyeMs = 200;
-const recheckMs = 1_000;
-const informPollMs = 50;
+/** Time for which shutdown waits until idle connections are closed by both ends. */
+const connectionCloseMs = 200;
+const resyncTimeoutMs = 1_000;
+const membershipPollMs = 50;
 
 type ProcessEvent = 'READY' | 'STOP' | 'DRAINED';
 
-/** One entry process: wires the parts together and owns their lifetimes. */
+/** The entry process: creates its components, connects them and manages their lifecycle. */
 export class Entry {
   private readonly clock = new SystemClock();
 
@@ -65,31 +65,31 @@
 
   private readonly instances: Instances;
 
-  private readonly directory: Directory;
+  private readonly directory: MemberDirectory;
 
-  private readonly exchange: MemberExchange;
+  private readonly gossip: MembershipGossip;
 
   private readonly prober: Prober;
 
   private readonly pauseGuard: PauseGuard;
 
-  private readonly keeper: ConfigurationKeeper;
+  private readonly replica: ConfigurationReplica;
 
-  private readonly configuration: ConfigurationService;
+  private readonly configurationService: ConfigurationService;
 
-  private readonly guard: CrashGuard;
+  private readonly crashGuard: CrashGuard;
 
-  private readonly callers: CallerServer;
+  private readonly callerServer: CallerServer;
 
-  private readonly operators: OperatorServer;
+  private readonly operatorServer: OperatorServer;
 
   private readonly rollOutGuard: RollOutGuard;
 
-  private internal: InternalServer | undefined;
+  private internalServer: InternalServer | undefined;
 
   private callerListener: Server | undefined;
 
-  private knowsMembers = false;
+  private isMembershipKnown = false;
 
   private lifecycle: Lifecycle<ProcessEvent> | undefined;
 
@@ -103,7 +103,7 @@
     this.secrets = new Secrets(settings.secrets);
     const now = (): number => clock.now();
     this.links = new LinkPool(this.secrets, options.linkAgeMs, now, this.abort.signal);
-    this.directory = new Directory(clock, settings.dataCentre, options, systemRandom);
+    this.directory = new MemberDirectory(clock, settings.dataCentre, options, systemRandom);
     this.instances = new Instances(
       new HttpInstanceList(platform.instances, options.platformTimeoutMs),
       clock,
@@ -111,18 +111,18 @@
       logs.part('instances'),
       systemRandom,
     );
-    this.exchange = this.makeExchange();
+    this.gossip = this.createGossip();
     this.prober = new Prober(this.directory, this.links, clock);
     this.pauseGuard = new PauseGuard(
       clock,
       options.pauseLimitMs,
-      (gapMs) => this.recheck(gapMs),
+      (gapMs) => this.resyncAfterPause(gapMs),
       logs.part('process'),
     );
     const store = new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs);
-    this.keeper = new ConfigurationKeeper(metrics, logs.part('configuration'));
-    this.configuration = new ConfigurationService(
-      this.keeper,
+    this.replica = new ConfigurationReplica(metrics, logs.part('configuration'));
+    this.configurationService = new ConfigurationService(
+      this.replica,
       {
         settings,
         store,
@@ -135,7 +135,7 @@
       },
       this.abort.signal,
     );
-    this.guard = new CrashGuard(
+    this.crashGuard = new CrashGuard(
       this.links,
       () => this.instances.entries.filter(({ name }) => name !== instance),
       clock,
@@ -146,42 +146,42 @@
     );
     const router = new Router(
       settings,
-      () => this.keeper.configuration,
+      () => this.replica.configuration,
       this.directory,
       clock,
       systemRandom,
     );
     const dispatcher = new RequestDispatcher(
       settings,
-      () => this.keeper.configuration,
+      () => this.replica.configuration,
       this.directory,
-      new AttemptReader(
+      new AttemptRunner(
         new RunSessions(this.links, this.abort.signal),
         clock,
         options.silenceMs,
         (load) => {
-          this.directory.observe(load);
-          router.observe(load);
+          this.directory.updateLoad(load);
+          router.updateLoad(load);
         },
       ),
-      this.guard,
+      this.crashGuard,
       router,
       () => clock.wall(),
       metrics,
       logs.part('requests'),
     );
-    this.callers = new CallerServer(
+    this.callerServer = new CallerServer(
       settings,
-      () => this.keeper.configuration,
+      () => this.replica.configuration,
       dispatcher,
       clock,
       metrics,
       logs.part('callers'),
     );
-    const editor = new ConfigurationEditor(store, this.keeper, clock, options.changeTimeoutMs);
+    const editor = new ConfigurationEditor(store, this.replica, clock, options.changeTimeoutMs);
     this.rollOutGuard = new RollOutGuard(
-      () => this.keeper.configuration,
-      () => this.directory.live,
+      () => this.replica.configuration,
+      () => this.directory.liveMembers,
       editor,
       instance,
       clock,
@@ -189,43 +189,48 @@
     );
     const handlers = new OperatorHandlers(
       instance,
-      this.keeper,
+      this.replica,
       editor,
       store,
       this.directory,
       new HttpWeightOrigin(platform.origin, options.platformTimeoutMs),
       clock,
     );
-    this.operators = new OperatorServer(
+    this.operatorServer = new OperatorServer(
       settings,
-      this.keeper,
-      [...handlers.routes(), ...convictionRoutes(this.guard)],
+      this.replica,
+      [...handlers.getRoutes(), ...getConvictionRoutes(this.crashGuard)],
       metrics,
       clock,
       logs.part('operators'),
     );
   }
 
-  /** Starts serving; resolves when all servers listen. */
+  /** Starts all servers and background tasks; resolves when all servers listen. */
   async start(): Promise<void> {
     const { settings, abort } = this;
     const { signal } = abort;
     const { listen: addresses } = settings;
     const { secrets } = this;
     const { host, port } = splitAddress(addresses.internal);
-    const routes = (router: ConnectRouter): void => this.internalRoutes(router);
-    this.internal = await serveInternal({ host, port, secrets }, routes, this.metrics, signal);
+    const routes = (router: ConnectRouter): void => this.registerInternalRoutes(router);
+    this.internalServer = await serveInternal(
+      { host, port, secrets },
+      routes,
+      this.metrics,
+      signal,
+    );
     void this.instances.follow(signal);
-    void this.configuration.spreader.run(signal);
-    void this.exchange.run(signal);
+    void this.configurationService.replicator.run(signal);
+    void this.gossip.run(signal);
     void this.prober.run(signal);
-    void this.guard.run(signal);
+    void this.crashGuard.run(signal);
     void this.rollOutGuard.run(signal);
     void this.pauseGuard.run(signal);
-    void this.followStates(signal);
+    void this.followDataCentreStates(signal);
     await listen(
       addresses.operators,
-      (request, response) => void this.operators.handle(request, response),
+      (request, response) => void this.operatorServer.handle(request, response),
       signal,
     );
     this.callerListener = await listen(
@@ -239,38 +244,38 @@
     this.log.info('Entry started.', { callers: addresses.callers });
   }
 
-  /** Puts other shared secrets in force. */
+  /** Replaces the secrets shared with other processes. */
   replaceSecrets(secrets: readonly string[]): void {
     this.secrets.replace(secrets);
     this.log.info('Secrets replaced.', { accepted: secrets.length });
   }
 
   /**
-   * Turns not ready, serves on while the balancer notices, then takes no more connections, lets
-   * running requests end and stops.
+   * Shuts down gracefully: fails readiness checks, keeps serving until the load balancer has noticed,
+   * then closes the listener, waits for active requests and stops.
    */
   async stop(): Promise<void> {
     const { balancerNoticeMs } = this.settings.options;
     this.lifecycle?.send('STOP');
-    this.callers.drain();
+    this.callerServer.startDraining();
     await Promise.all([
-      this.exchange.withdraw(this.abort.signal),
+      this.gossip.announceLeaving(this.abort.signal),
       this.clock.sleep(balancerNoticeMs),
     ]);
     this.callerListener?.close();
     this.callerListener?.closeIdleConnections();
-    await this.clock.sleep(goodbyeMs);
-    while (this.callers.active > 0) await this.clock.sleep(drainPollMs);
-    await this.internal?.drain(goodbyeMs);
+    await this.clock.sleep(connectionCloseMs);
+    while (this.callerServer.activeCount > 0) await this.clock.sleep(drainPollMs);
+    await this.internalServer?.drain(connectionCloseMs);
     this.lifecycle?.send('DRAINED');
     this.abort.abort();
   }
 
-  private makeExchange(): MemberExchange {
+  private createGossip(): MembershipGossip {
     const { settings, clock, directory, links } = this;
     const { instance: name, region, dataCentre, listen: addresses, options } = settings;
     const self = { name, region, dataCentre, address: `http://${addresses.internal}` };
-    return new MemberExchange(
+    return new MembershipGossip(
       self,
       directory,
       () => this.instances.entries,
@@ -282,74 +287,74 @@
   }
 
   /**
-   * A process that stood still asks for the newest configuration before it acts on a request, and
-   * a new one hears of the members before it is ready.
+   * After a process pause, requests wait until the configuration has been refreshed. After the start,
+   * they wait until the members are known, and readiness checks fail until then.
    */
   private async serveCaller(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (!this.pauseGuard.isSettled()) await this.pauseGuard.settled();
-    if (!this.isInformed()) {
+    if (!this.hasMembership()) {
       if (request.url === '/ready') {
-        sendFailure(response, new Unavailable('The members are not known yet.', informPollMs));
+        sendFailure(response, new Unavailable('The members are not known yet.', membershipPollMs));
         return;
       }
-      await this.informed();
+      await this.waitForMembership();
     }
-    await this.callers.handle(request, response);
+    await this.callerServer.handle(request, response);
   }
 
   /**
-   * Whether the members are known well enough to route. The first entry that is asked may be new
-   * itself and know but a part of them, so each service must have an endpoint, or time must have
-   * passed.
+   * Whether enough members are known to route requests. The entry that answered the full sync may be
+   * new itself and know only some members, so each service must have an endpoint, unless this entry has
+   * run long enough to hear the heartbeats itself.
    */
-  private isInformed(): boolean {
-    this.knowsMembers ||=
-      this.exchange.isInformed && (this.exchange.hasWaited || this.hasEndpoints());
-    return this.knowsMembers;
+  private hasMembership(): boolean {
+    this.isMembershipKnown ||=
+      this.gossip.isSynced && (this.gossip.hasWaitedForHeartbeats || this.hasEndpoints());
+    return this.isMembershipKnown;
   }
 
   private hasEndpoints(): boolean {
-    const services = Object.keys(this.keeper.configuration.services);
+    const services = Object.keys(this.replica.configuration.services);
     return services.every((name) => this.directory.candidates(name, () => true).length > 0);
   }
 
-  private async informed(): Promise<void> {
-    while (!this.isInformed()) await this.clock.sleep(informPollMs);
+  private async waitForMembership(): Promise<void> {
+    while (!this.hasMembership()) await this.clock.sleep(membershipPollMs);
   }
 
-  private async recheck(gapMs: number): Promise<void> {
+  private async resyncAfterPause(gapMs: number): Promise<void> {
     this.metrics.count('pauses');
     this.directory.members.resume(gapMs);
-    this.exchange.nudge();
-    await this.configuration.spreader.refresh(AbortSignal.timeout(recheckMs));
+    this.gossip.triggerExchange();
+    await this.configurationService.replicator.refresh(AbortSignal.timeout(resyncTimeoutMs));
   }
 
-  private async followStates(signal: AbortSignal): Promise<void> {
+  private async followDataCentreStates(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const { configuration } = this.keeper;
-      this.directory.refresh((dataCentre) => isIn(configuration, dataCentre));
+      const { configuration } = this.replica;
+      this.directory.updateRamps((dataCentre) => isIn(configuration, dataCentre));
       await this.clock.sleep(this.settings.options.exchangeMs, signal).catch(() => undefined);
     }
   }
 
-  private internalRoutes(router: ConnectRouter): void {
+  private registerInternalRoutes(router: ConnectRouter): void {
     router.service(EntryService, {
-      beat: ({ member }) => this.takeBeat(member),
-      exchange: (request) => this.exchange.answer(request),
-      shareVerdicts: ({ verdicts }) => ({ verdicts: this.guard.exchange(verdicts) }),
-      sync: (request) => this.configuration.sync(request),
-      announce: (request) => this.configuration.announce(request),
+      beat: ({ member }) => this.handleBeat(member),
+      exchange: (request) => this.gossip.handleExchange(request),
+      shareVerdicts: ({ verdicts }) => ({ verdicts: this.crashGuard.mergeVerdicts(verdicts) }),
+      sync: (request) => this.configurationService.handleSync(request),
+      announce: (request) => this.configurationService.handleAnnounce(request),
     });
   }
 
-  private takeBeat(member: Member | undefined): {
+  private handleBeat(member: Member | undefined): {
     configurationRevision: bigint;
     knownIncarnation: bigint;
   } {
     const before = this.directory.members.revision;
-    const known = member ? this.directory.beat(member) : 0;
-    if (this.directory.members.revision !== before) this.exchange.nudge();
-    const { revision } = this.keeper.configuration;
+    const known = member ? this.directory.recordHeartbeat(member) : 0;
+    if (this.directory.members.revision !== before) this.gossip.triggerExchange();
+    const { revision } = this.replica.configuration;
     return { configurationRevision: BigInt(revision), knownIncarnation: BigInt(known) };
   }
 }
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,9 +1,9 @@
-/** The entry process: callers' and operators' HTTP, routing and configuration. */
-export { AttemptReader } from './attempt.js';
+/** The entry process: HTTP servers for callers and operators, routing and configuration. */
+export { AttemptRunner } from './attempt.js';
 export type { RunTransport } from './attempt.js';
-export type { AnswerPart, CallerRequest } from './callerRequest.js';
+export type { ResponsePart, CallerRequest } from './callerRequest.js';
 export { CrashGuard } from './crashGuard.js';
-export { Directory } from './directory.js';
+export { MemberDirectory } from './directory.js';
 export { Entry } from './entry.js';
 export { RequestDispatcher } from './requestDispatcher.js';
 export * from './auditTrail.js';
--- a/packages/entry/src/memberExchange.ts
+++ b/packages/entry/src/memberExchange.ts
@@ -12,49 +12,52 @@
 import type { LinkPool, MessageInitShape } from '@laburnumstream/links';
 import { EntryService, ExchangeResponseSchema } from '@laburnumstream/protocol';
 import type { DataCentreAge, ExchangeRequest, ExchangeResponse } from '@laburnumstream/protocol';
-import type { Directory } from './directory.js';
+import type { MemberDirectory } from './directory.js';
 
-/** What is known of a peer's knowledge. */
-interface PeerView {
-  /** The peer holds all own changes up to here. */
+/** State of the exchange with one peer. */
+interface PeerState {
+  /** Membership revision up to which the peer has received all changes. */
   cursor: number;
-  mismatches: number;
-  lastAllAt: number;
-  /** Time before all records are sent again, in milliseconds; grows while that does not help. */
-  allPauseMs: number;
-  busy: boolean;
+  /** Consecutive exchanges after which the digests still differed. */
+  digestMismatches: number;
+  /** Monotonic time, in milliseconds. */
+  lastFullSyncAt: number;
+  /** Minimum time between full syncs; doubles while they leave the digests different. */
+  fullSyncIntervalMs: number;
+  isExchanging: boolean;
 }
 
-type Answer = MessageInitShape<typeof ExchangeResponseSchema>;
+type ExchangeResponseInit = MessageInitShape<typeof ExchangeResponseSchema>;
 
 const partnerCount = 3;
-const bridgeCount = 2;
-/** Time in which changes are collected before they are passed on, in milliseconds. */
-const collectMs = 100;
-const answerMs = 1_000;
-const mismatchesBeforeAll = 3;
-/** Time in which a new entry without others to ask hears the members' heartbeats, in milliseconds. */
-const aloneMs = 4_000;
-const firstAllPauseMs = 2_000;
-const longestAllPauseMs = 60_000;
-
-const firstView: PeerView = {
+const bridgesPerDataCentre = 2;
+/** Time for which changes are batched before they are sent. */
+const batchMs = 100;
+const timeoutMs = 1_000;
+const mismatchesBeforeFullSync = 3;
+/** Time after which a new entry has received a heartbeat from every live member. */
+const startupWaitMs = 4_000;
+const minFullSyncIntervalMs = 2_000;
+const maxFullSyncIntervalMs = 60_000;
+
+const initialPeerState: PeerState = {
   cursor: 0,
-  mismatches: 0,
-  lastAllAt: -Infinity,
-  allPauseMs: firstAllPauseMs,
-  busy: false,
+  digestMismatches: 0,
+  lastFullSyncAt: -Infinity,
+  fullSyncIntervalMs: minFullSyncIntervalMs,
+  isExchanging: false,
 };
 
-/** Compares members with a few other entries and passes changes on. */
-export class MemberExchange {
-  private readonly views = new Map<string, PeerView>();
+/** Gossips membership records with a few other entries; sends only changes, except in full syncs. */
+export class MembershipGossip {
+  private readonly peerStates = new Map<string, PeerState>();
 
-  private readonly turns = new Map<string, number>();
+  /** By data centre: failed exchanges so far, which select the next entry to try there. */
+  private readonly remoteOffsets = new Map<string, number>();
 
   private beat = 0;
 
-  private informed = false;
+  private hasSyncedMembers = false;
 
   private leaving = false;
 
@@ -66,8 +69,8 @@
 
   constructor(
     private readonly self: Peer,
-    private readonly directory: Directory,
-    private readonly listed: () => readonly Instance[],
+    private readonly directory: MemberDirectory,
+    private readonly listEntries: () => readonly Instance[],
     private readonly links: LinkPool,
     private readonly clock: Clock,
     private readonly intervalMs: number,
@@ -77,91 +80,91 @@
     this.startedAt = clock.now();
   }
 
-  /** Exchanges until the signal fires. */
+  /** Gossips until the signal fires. */
   async run(signal: AbortSignal): Promise<void> {
     signal.addEventListener('abort', () => this.wake.abort(), { once: true });
-    let due = 0;
+    let nextDueAt = 0;
     while (!signal.aborted) {
       const now = this.clock.now();
-      const regular = now >= due;
-      if (regular) due = now + this.intervalMs;
+      const isDue = now >= nextDueAt;
+      if (isDue) nextDueAt = now + this.intervalMs;
       this.directory.members.sweep(now);
-      this.targets()
-        .filter(({ name }) => regular || this.hasNews(name))
-        .forEach((peer) => void this.exchange(peer, signal));
-      await this.clock.sleep(collectMs, signal).catch(() => undefined);
-      await this.untilDue(due);
+      this.selectPeers()
+        .filter(({ name }) => isDue || this.hasPendingChanges(name))
+        .forEach((peer) => void this.exchangeWith(peer, signal));
+      await this.clock.sleep(batchMs, signal).catch(() => undefined);
+      await this.waitUntilDue(nextDueAt);
     }
   }
 
-  /** Whether this entry has heard of the members from another one, or had time to hear them itself. */
-  get isInformed(): boolean {
-    this.informed ||= this.hasWaited;
-    return this.informed;
+  /** Whether the members are known from a full sync or from the heartbeats received since the start. */
+  get isSynced(): boolean {
+    this.hasSyncedMembers ||= this.hasWaitedForHeartbeats;
+    return this.hasSyncedMembers;
   }
 
-  /** Whether this entry has had time to hear all members that live. */
-  get hasWaited(): boolean {
-    return this.clock.now() - this.startedAt > aloneMs;
+  /** Whether this entry has run long enough to have received heartbeats from all live members. */
+  get hasWaitedForHeartbeats(): boolean {
+    return this.clock.now() - this.startedAt > startupWaitMs;
   }
 
-  /** Wakes the exchange when there is something to pass on. */
-  nudge(): void {
+  /** Wakes the gossip loop to send pending changes. */
+  triggerExchange(): void {
     this.wake.abort();
   }
 
-  /** Tells the partners that this entry leaves. */
-  async withdraw(signal: AbortSignal): Promise<void> {
+  /** Announces to the gossip partners that this entry is leaving. */
+  async announceLeaving(signal: AbortSignal): Promise<void> {
     this.leaving = true;
-    await Promise.all(this.targets().map((peer) => this.exchange(peer, signal)));
+    await Promise.all(this.selectPeers().map((peer) => this.exchangeWith(peer, signal)));
   }
 
-  /** Answers the exchange of another entry. */
-  answer(request: ExchangeRequest): Answer {
+  /** Handles another entry's exchange request. */
+  handleExchange(request: ExchangeRequest): ExchangeResponseInit {
     const { members } = this.directory;
     const now = this.clock.now();
     const name = request.self?.name ?? '';
-    const view = this.viewOf(name);
+    const state = this.getPeerState(name);
     const before = members.revision;
     let knownIncarnation = 0;
-    if (request.self) knownIncarnation = this.hear(request.self);
-    this.take(request.members, request.ages);
-    // What has just come from the peer need not go back to it.
-    if (view.cursor === before) view.cursor = members.revision;
-    const { records, cursor } = members.changesAfter(request.all ? 0 : view.cursor);
-    view.cursor = cursor;
-    if (members.revision !== before) this.nudge();
+    if (request.self) knownIncarnation = this.recordPeerHeartbeat(request.self);
+    this.mergeRecords(request.members, request.ages);
+    // Records that the peer has just sent are not sent back to it.
+    if (state.cursor === before) state.cursor = members.revision;
+    const { records, cursor } = members.changesAfter(request.all ? 0 : state.cursor);
+    state.cursor = cursor;
+    if (members.revision !== before) this.triggerExchange();
     return {
       members: records.map(toMember),
       digest: members.digest,
-      ages: this.ages(now),
+      ages: this.getDataCentreAges(now),
       knownIncarnation: BigInt(knownIncarnation),
     };
   }
 
-  /** The entries that are not known to leave or to be gone. */
-  private entries(): Peer[] {
+  /** The entries that are neither leaving nor gone; listed ones are included before they are known. */
+  private getReachableEntries(): Peer[] {
     const { members } = this.directory;
     const now = this.clock.now();
     const known = members.present().filter(({ role }) => role === 'entry');
-    const listed = this.listed().filter(({ name }) => !members.get(name));
+    const listed = this.listEntries().filter(({ name }) => !members.get(name));
     return [...known, ...listed].filter(({ name }) => {
       const standing = members.get(name) ? members.standing(name, now) : Standing.alive;
       return standing === Standing.alive || standing === Standing.suspect;
     });
   }
 
-  private targets(): Peer[] {
-    this.renew();
-    const entries = this.entries();
+  private selectPeers(): Peer[] {
+    this.refreshSelfRecord();
+    const entries = this.getReachableEntries();
     const partners = choosePartners(this.self, entries, partnerCount);
-    if (!isBridge(this.self, entries, bridgeCount)) return partners;
-    const turn = (dataCentre: string): number => this.turns.get(dataCentre) ?? 0;
-    return [...partners, ...chooseRemotes(this.self, entries, turn)];
+    if (!isBridge(this.self, entries, bridgesPerDataCentre)) return partners;
+    const offset = (dataCentre: string): number => this.remoteOffsets.get(dataCentre) ?? 0;
+    return [...partners, ...chooseRemotes(this.self, entries, offset)];
   }
 
-  /** Renews the own record. */
-  private renew(): MemberRecord {
+  /** Stores this entry's own record with the next heartbeat number. */
+  private refreshSelfRecord(): MemberRecord {
     this.beat += 1;
     const { name, region, dataCentre, address } = this.self;
     const { incarnation, beat } = this;
@@ -172,103 +175,113 @@
     return record;
   }
 
-  private viewOf(name: string): PeerView {
-    let view = this.views.get(name);
-    if (!view) {
+  private getPeerState(name: string): PeerState {
+    let state = this.peerStates.get(name);
+    if (!state) {
       const cursor = this.directory.members.revision;
-      view = { ...firstView, cursor };
-      this.views.set(name, view);
+      state = { ...initialPeerState, cursor };
+      this.peerStates.set(name, state);
     }
-    return view;
+    return state;
   }
 
-  private hasNews(name: string): boolean {
-    return this.viewOf(name).cursor < this.directory.members.revision;
+  private hasPendingChanges(name: string): boolean {
+    return this.getPeerState(name).cursor < this.directory.members.revision;
   }
 
-  private async exchange(peer: Peer, signal: AbortSignal): Promise<void> {
-    const view = this.viewOf(peer.name);
-    if (view.busy) return;
-    view.busy = true;
+  private async exchangeWith(peer: Peer, signal: AbortSignal): Promise<void> {
+    const state = this.getPeerState(peer.name);
+    if (state.isExchanging) return;
+    state.isExchanging = true;
     try {
-      const all = this.wantsAll(view);
-      const { records, cursor } = this.directory.members.changesAfter(all ? 0 : view.cursor);
+      const isFullSync = this.needsFullSync(state);
+      const { records, cursor } = this.directory.members.changesAfter(
+        isFullSync ? 0 : state.cursor,
+      );
       const request = {
-        self: toMember(this.renew()),
+        self: toMember(this.refreshSelfRecord()),
         members: records.map(toMember),
         digest: this.directory.members.digest,
-        ages: this.ages(this.clock.now()),
-        all,
+        ages: this.getDataCentreAges(this.clock.now()),
+        all: isFullSync,
       };
       const client = createClient(EntryService, this.links.to(peer.address));
-      const answer = await client.exchange(request, { signal, timeoutMs: answerMs });
-      this.accept(view, cursor, answer);
-      this.informed ||= all && answer.members.some(({ role }) => role === 'agent');
-      this.noteDigest(view, all, answer.digest);
+      const response = await client.exchange(request, { signal, timeoutMs });
+      this.applyResponse(state, cursor, response);
+      this.hasSyncedMembers ||= isFullSync && response.members.some(({ role }) => role === 'agent');
+      this.updateSyncState(state, isFullSync, response.digest);
     } catch (error) {
       this.links.replace(peer.address);
       const { dataCentre, name } = peer;
-      this.turns.set(dataCentre, (this.turns.get(dataCentre) ?? 0) + 1);
-      this.log.debug('Exchange failed.', { peer: name, type: toFailure(error).type });
+      this.remoteOffsets.set(dataCentre, (this.remoteOffsets.get(dataCentre) ?? 0) + 1);
+      this.log.debug('Membership exchange failed.', { peer: name, type: toFailure(error).type });
     } finally {
-      view.busy = false;
+      state.isExchanging = false;
     }
   }
 
-  private accept(view: PeerView, cursor: number, answer: ExchangeResponse): void {
+  private applyResponse(state: PeerState, cursor: number, response: ExchangeResponse): void {
     const { members } = this.directory;
     const before = members.revision;
-    if (Number(answer.knownIncarnation) > this.incarnation) {
-      this.incarnation = Number(answer.knownIncarnation) + 1;
+    if (Number(response.knownIncarnation) > this.incarnation) {
+      this.incarnation = Number(response.knownIncarnation) + 1;
     }
-    this.take(answer.members, answer.ages);
-    const noneBetween = cursor === before;
-    Object.assign(view, { cursor: noneBetween ? members.revision : cursor });
-    if (members.revision !== before) this.nudge();
+    this.mergeRecords(response.members, response.ages);
+    const isUnchanged = cursor === before;
+    Object.assign(state, { cursor: isUnchanged ? members.revision : cursor });
+    if (members.revision !== before) this.triggerExchange();
   }
 
-  /** All records go out from a new entry, and later only when digests stay apart for long. */
-  private wantsAll(view: PeerView): boolean {
-    if (!this.informed) return true;
-    const paused = this.clock.now() - view.lastAllAt > view.allPauseMs;
-    return view.mismatches >= mismatchesBeforeAll && paused;
+  /** A new entry exchanges all records; later that happens only when digests keep differing. */
+  private needsFullSync(state: PeerState): boolean {
+    if (!this.hasSyncedMembers) return true;
+    const hasPaused = this.clock.now() - state.lastFullSyncAt > state.fullSyncIntervalMs;
+    return state.digestMismatches >= mismatchesBeforeFullSync && hasPaused;
   }
 
-  private noteDigest(view: PeerView, all: boolean, digest: number): void {
-    const equal = digest === this.directory.members.digest;
-    const longer = Math.min(view.allPauseMs * 2, longestAllPauseMs);
-    const allPauseMs = all ? longer : view.allPauseMs;
-    const mismatches = equal ? 0 : view.mismatches + 1;
-    const lastAllAt = all ? this.clock.now() : view.lastAllAt;
-    Object.assign(view, {
-      mismatches: all ? 0 : mismatches,
-      lastAllAt,
-      allPauseMs: equal ? firstAllPauseMs : allPauseMs,
+  private updateSyncState(state: PeerState, isFullSync: boolean, digest: number): void {
+    const isEqual = digest === this.directory.members.digest;
+    const doubledMs = Math.min(state.fullSyncIntervalMs * 2, maxFullSyncIntervalMs);
+    const fullSyncIntervalMs = isFullSync ? doubledMs : state.fullSyncIntervalMs;
+    const digestMismatches = isEqual ? 0 : state.digestMismatches + 1;
+    const lastFullSyncAt = isFullSync ? this.clock.now() : state.lastFullSyncAt;
+    Object.assign(state, {
+      digestMismatches: isFullSync ? 0 : digestMismatches,
+      lastFullSyncAt,
+      fullSyncIntervalMs: isEqual ? minFullSyncIntervalMs : fullSyncIntervalMs,
     });
   }
 
-  private take(records: ExchangeResponse['members'], ages: readonly DataCentreAge[]): void {
+  private mergeRecords(
+    records: ExchangeResponse['members'],
+    dataCentreAges: readonly DataCentreAge[],
+  ): void {
     const now = this.clock.now();
-    records.forEach((member) => this.directory.learn(member));
-    ages.forEach(({ dataCentre, ageMs }) => this.directory.members.confirm(dataCentre, ageMs, now));
+    records.forEach((member) => this.directory.mergeRecord(member));
+    dataCentreAges.forEach(({ dataCentre, ageMs }) =>
+      this.directory.members.confirm(dataCentre, ageMs, now),
+    );
   }
 
-  /** Entries of other data centres are not observed from here: links between them may be cut. */
-  private hear(self: NonNullable<ExchangeRequest['self']>): number {
-    if (self.dataCentre === this.self.dataCentre) return this.directory.beat(self);
-    this.directory.learn(self);
+  /**
+   * Heartbeat timeouts apply only to entries of the own data centre: a partition between data centres
+   * must not make the others' entries count as gone.
+   */
+  private recordPeerHeartbeat(self: NonNullable<ExchangeRequest['self']>): number {
+    if (self.dataCentre === this.self.dataCentre) return this.directory.recordHeartbeat(self);
+    this.directory.mergeRecord(self);
     return this.directory.members.get(toRecord(self).name)?.incarnation ?? 0;
   }
 
-  private ages(now: number): { dataCentre: string; ageMs: number }[] {
+  private getDataCentreAges(now: number): { dataCentre: string; ageMs: number }[] {
     return this.directory.members
       .ages(now)
       .map(({ dataCentre, ageMs }) => ({ dataCentre, ageMs: Math.round(ageMs) }));
   }
 
-  private async untilDue(due: number): Promise<void> {
-    const wait = Math.max(0, due - this.clock.now());
-    await this.clock.sleep(wait, this.wake.signal).catch(() => undefined);
+  private async waitUntilDue(dueAt: number): Promise<void> {
+    const waitMs = Math.max(0, dueAt - this.clock.now());
+    await this.clock.sleep(waitMs, this.wake.signal).catch(() => undefined);
     if (this.wake.signal.aborted) this.wake = new AbortController();
   }
 }
--- a/packages/entry/src/operatorAuthentication.ts
+++ b/packages/entry/src/operatorAuthentication.ts
@@ -7,13 +7,16 @@
 const bootstrapPrefix = 'bootstrap/';
 
 /** An operator whose token is valid. */
-export interface KnownOperator {
+export interface AuthenticatedOperator {
   readonly name: string;
   readonly operator: Operator;
 }
 
-/** The operator of a name in a document; throws `Unauthenticated` when it is there no more. */
-export function operatorIn(configuration: Configuration, name: string): Operator {
+/**
+ * The operator with this name in a document; throws `Unauthenticated` when the document no longer has
+ * it.
+ */
+export function getOperator(configuration: Configuration, name: string): Operator {
   const isBootstrap = name.startsWith(bootstrapPrefix) && !hasUnlimitedOperator(configuration);
   const operator = isBootstrap
     ? { role: OperatorRole.operator, tokenHashes: [] }
@@ -23,21 +26,23 @@
 }
 
 /**
- * Finds the operator of a request; throws `Unauthenticated`. Operators of the settings count only
- * until the configuration names one who may change everything.
+ * Authenticates an operator by bearer token; throws `Unauthenticated`. Bootstrap operators from the
+ * settings are accepted only until the configuration has an operator who may change everything.
  */
 export function authenticate(
   request: IncomingMessage,
   configuration: Configuration,
   bootstrap: Readonly<Record<string, string>>,
-): KnownOperator {
+): AuthenticatedOperator {
   const hash = sha256(bearerToken(request));
-  const known = Object.entries(configuration.operators).find(([, { tokenHashes }]) =>
+  const configured = Object.entries(configuration.operators).find(([, { tokenHashes }]) =>
     tokenHashes.some((tokenHash) => sameSecret(tokenHash, hash)),
   );
-  if (known) return { name: known[0], operator: known[1] };
-  const first = Object.entries(bootstrap).find(([, tokenHash]) => sameSecret(tokenHash, hash));
-  if (!first || hasUnlimitedOperator(configuration)) throw new Unauthenticated();
-  const name = `${bootstrapPrefix}${first[0]}`;
-  return { name, operator: operatorIn(configuration, name) };
+  if (configured) return { name: configured[0], operator: configured[1] };
+  const bootstrapped = Object.entries(bootstrap).find(([, tokenHash]) =>
+    sameSecret(tokenHash, hash),
+  );
+  if (!bootstrapped || hasUnlimitedOperator(configuration)) throw new Unauthenticated();
+  const name = `${bootstrapPrefix}${bootstrapped[0]}`;
+  return { name, operator: getOperator(configuration, name) };
 }
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -14,86 +14,89 @@
   addException,
   applyChange,
   removeException,
-  setDataCentre,
+  setDataCentreState,
   startRollOut,
 } from './changes.js';
 import type { ConfigurationEditor, ConfigurationHolder } from './configurationEditor.js';
-import type { Directory } from './directory.js';
-import { operatorIn } from './operatorAuthentication.js';
-import { changing, reading } from './operatorRoutes.js';
+import type { MemberDirectory } from './directory.js';
+import { getOperator } from './operatorAuthentication.js';
+import { operatorRoute, viewerRoute } from './operatorRoutes.js';
 import type { OperatorCall, Route } from './operatorRoutes.js';
-import { rollOutProgress } from './rollOutProgress.js';
+import { computeRollOutProgress } from './rollOutProgress.js';
 import type { RollOutProgress } from './rollOutProgress.js';
 
-function wholeNumber(query: URLSearchParams, name: string): number | undefined {
+function parseWholeNumber(query: URLSearchParams, name: string): number | undefined {
   const text = query.get(name);
   if (text === null) return undefined;
   if (/^\d{1,15}$/.test(text)) return Number(text);
   throw new InvalidInput(`${name}: expected a whole number`);
 }
 
-/** What the administration API does on each of its routes. */
+/** Handlers of the administration API's routes. */
 export class OperatorHandlers {
-  private readonly trail: AuditTrail;
+  private readonly auditTrail: AuditTrail;
 
   constructor(
     private readonly instance: string,
-    private readonly keeper: ConfigurationHolder,
+    private readonly holder: ConfigurationHolder,
     private readonly editor: ConfigurationEditor,
     store: KeyValueStore,
-    private readonly directory: Directory,
+    private readonly directory: MemberDirectory,
     private readonly origin: WeightOrigin,
     private readonly clock: Clock,
   ) {
-    this.trail = new AuditTrail(store);
+    this.auditTrail = new AuditTrail(store);
   }
 
   /** The routes of the administration API. */
-  routes(): Route[] {
+  getRoutes(): Route[] {
     const { in: inService, out } = DataCentreState;
     return [
-      reading('configuration', () => this.visible()),
-      changing('POST', 'configuration', (call) =>
-        this.change(applyChange(call.by, call.fields), call),
+      viewerRoute('configuration', () => this.getConfiguration()),
+      operatorRoute('POST', 'configuration', (call) =>
+        this.applyOrPreview(applyChange(call.attribution, call.fields), call),
       ),
-      reading('exceptions', () => this.keeper.configuration.exceptions),
-      changing('POST', 'exceptions', (call) =>
-        this.change(addException(call.by, call.fields), call),
+      viewerRoute('exceptions', () => this.holder.configuration.exceptions),
+      operatorRoute('POST', 'exceptions', (call) =>
+        this.applyOrPreview(addException(call.attribution, call.fields), call),
       ),
-      changing('DELETE', 'exceptions/([^/]+)', (call) =>
-        this.change(removeException(call.by, call.parameter), call),
+      operatorRoute('DELETE', 'exceptions/([^/]+)', (call) =>
+        this.applyOrPreview(removeException(call.attribution, call.parameter), call),
       ),
-      changing('POST', 'data-centres/([^/]+)/take-out', (call) =>
-        this.change(setDataCentre(call.by, call.parameter, out), call),
+      operatorRoute('POST', 'data-centres/([^/]+)/take-out', (call) =>
+        this.applyOrPreview(setDataCentreState(call.attribution, call.parameter, out), call),
       ),
-      changing('POST', 'data-centres/([^/]+)/return', (call) =>
-        this.change(setDataCentre(call.by, call.parameter, inService), call),
+      operatorRoute('POST', 'data-centres/([^/]+)/return', (call) =>
+        this.applyOrPreview(setDataCentreState(call.attribution, call.parameter, inService), call),
       ),
-      changing('POST', 'roll-outs/([^/]+)', (call) => this.rollOut(call)),
-      reading('roll-outs/([^/]+)', ({ parameter }) => this.progress(parameter)),
-      reading('status', () => this.status()),
-      reading('audit', (call) => this.audit(call)),
-      reading('changes/([^/]+)', (call) => this.outcome(call)),
+      operatorRoute('POST', 'roll-outs/([^/]+)', (call) => this.beginRollOut(call)),
+      viewerRoute('roll-outs/([^/]+)', ({ parameter }) => this.getRollOutProgress(parameter)),
+      viewerRoute('status', () => this.getStatus()),
+      viewerRoute('audit', (call) => this.readAuditTrail(call)),
+      viewerRoute('changes/([^/]+)', (call) => this.getChangeOutcome(call)),
     ];
   }
 
-  private async change(change: Change, { mode, signal }: OperatorCall): Promise<unknown> {
-    const { dryRun, ...named } = mode;
-    const permitted: Change = {
+  private async applyOrPreview(
+    change: Change,
+    { changeOptions, signal }: OperatorCall,
+  ): Promise<unknown> {
+    const { dryRun, ...options } = changeOptions;
+    const checkedChange: Change = {
       ...change,
-      ...named,
-      // The stored document may know better than the one in force here what the author may do.
+      ...options,
+      // Checked against the stored document, which may be newer than the one in force here.
       permit: (document, changes) =>
-        checkPermission(document, operatorIn(document, change.author), changes),
+        checkPermission(document, getOperator(document, change.author), changes),
     };
-    if (dryRun) return this.preview(permitted, signal);
-    const { revision, changeId } = await this.editor.apply(permitted, signal);
+    if (dryRun) return this.preview(checkedChange, signal);
+    const { revision, changeId } = await this.editor.apply(checkedChange, signal);
     return { accepted: true, revision, changeId };
   }
 
   private async preview(change: Change, signal: AbortSignal): Promise<unknown> {
     const { before, after, changes } = await this.editor.preview(change, signal);
-    const places = this.directory.live.map(({ name, dataCentre, service }) => ({
+    const places = this.directory.liveMembers.map(({ name, dataCentre, service }) => ({
       instance: name,
       dataCentre,
       service,
@@ -108,33 +111,33 @@
     };
   }
 
-  private async rollOut(call: OperatorCall): Promise<unknown> {
-    const { by, parameter, fields, signal } = call;
+  private async beginRollOut(call: OperatorCall): Promise<unknown> {
+    const { attribution, parameter, fields, signal } = call;
     const version = String(fields.version ?? '');
     if (!version) throw new InvalidInput('The field version must be a non-empty text.');
     const manifest = await this.origin.manifest(parameter, version, signal);
     const digest = manifestDigest(manifest, sha256);
-    return this.change(startRollOut(by, parameter, { version, digest }), call);
+    return this.applyOrPreview(startRollOut(attribution, parameter, { version, digest }), call);
   }
 
-  private async audit({ query, signal }: OperatorCall): Promise<unknown> {
-    const since = wholeNumber(query, 'since');
-    const limit = wholeNumber(query, 'limit');
-    const wanted = {
+  private async readAuditTrail({ query, signal }: OperatorCall): Promise<unknown> {
+    const since = parseWholeNumber(query, 'since');
+    const limit = parseWholeNumber(query, 'limit');
+    const auditQuery = {
       ...(since === undefined ? {} : { since }),
       ...(limit === undefined ? {} : { limit }),
     };
-    return this.trail.read(this.keeper.configuration, wanted, signal);
+    return this.auditTrail.read(this.holder.configuration, auditQuery, signal);
   }
 
-  private async outcome({ parameter, signal }: OperatorCall): Promise<unknown> {
-    const revision = await this.editor.revisionOf(parameter, signal);
+  private async getChangeOutcome({ parameter, signal }: OperatorCall): Promise<unknown> {
+    const revision = await this.editor.findRevision(parameter, signal);
     return { changeId: parameter, accepted: revision !== undefined, revision: revision ?? null };
   }
 
-  /** The document without hashes of tokens. */
-  private visible(): unknown {
-    const { workspaces, operators, audit, ...rest } = this.keeper.configuration;
+  /** The document without the audit trail, with token hashes replaced by their number. */
+  private getConfiguration(): unknown {
+    const { workspaces, operators, audit, ...rest } = this.holder.configuration;
     const visibleOperators = Object.entries(operators).map(([name, { tokenHashes, ...item }]) => [
       name,
       { ...item, tokens: tokenHashes.length },
@@ -150,14 +153,19 @@
     };
   }
 
-  private progress(model: string): RollOutProgress {
-    const { configuration } = this.keeper;
-    return rollOutProgress(configuration, this.directory.live, model, this.clock.wall());
+  private getRollOutProgress(model: string): RollOutProgress {
+    const { configuration } = this.holder;
+    return computeRollOutProgress(
+      configuration,
+      this.directory.liveMembers,
+      model,
+      this.clock.wall(),
+    );
   }
 
-  private status(): unknown {
-    const { revision, dataCentres } = this.keeper.configuration;
-    const members = this.directory.live.map(
+  private getStatus(): unknown {
+    const { revision, dataCentres } = this.holder.configuration;
+    const members = this.directory.liveMembers.map(
       ({ name, dataCentre, service, leaving, serving, load }) => {
         const { inFlight = 0, limit = 0, queued = 0 } = load ?? {};
         return { name, dataCentre, service, leaving, serving, inFlight, limit, queued };
--- a/packages/entry/src/operatorRoutes.ts
+++ b/packages/entry/src/operatorRoutes.ts
@@ -1,31 +1,33 @@
 import { NotFound } from '@laburnumstream/common';
 import { OperatorRole } from '@laburnumstream/decisions';
 import type { Operator } from '@laburnumstream/decisions';
-import type { Author } from './changes.js';
+import type { Attribution } from './changes.js';
 
-/** How a change is to be made. */
-export interface ChangeMode {
+/** Options of a change. */
+export interface ChangeOptions {
   readonly dryRun: boolean;
+  /** Idempotency id of the change. */
   readonly changeId?: string;
+  /** The revision that the author saw; later changes of the same items are conflicts. */
   readonly ifRevision?: number;
 }
 
-/** A request of an operator after the role check. */
+/** An operator's request after authentication and the role check. */
 export interface OperatorCall {
   readonly operator: Operator;
-  /** The part of the path that names an object. */
+  /** The path segment that names an object; empty when the route has none. */
   readonly parameter: string;
   readonly query: URLSearchParams;
   readonly fields: Readonly<Record<string, unknown>>;
-  readonly mode: ChangeMode;
-  readonly by: Author;
+  readonly changeOptions: ChangeOptions;
+  readonly attribution: Attribution;
   readonly signal: AbortSignal;
 }
 
-/** Answers one kind of operators' requests. */
+/** Handles the requests of one route; its result is sent as JSON. */
 export type OperatorHandler = (call: OperatorCall) => Promise<unknown> | unknown;
 
-/** A path of the administration API with the role that it needs. */
+/** A route of the administration API and the role that it requires. */
 export interface Route {
   readonly method: string;
   readonly path: RegExp;
@@ -33,27 +35,36 @@
   readonly handler: OperatorHandler;
 }
 
-function route(method: string, path: string, role: OperatorRole, handler: OperatorHandler): Route {
+function createRoute(
+  method: string,
+  path: string,
+  role: OperatorRole,
+  handler: OperatorHandler,
+): Route {
   return { method, path: new RegExp(`^/admin/v1/${path}$`), role, handler };
 }
 
-/** A route that viewers may use. */
-export function reading(path: string, handler: OperatorHandler): Route {
-  return route('GET', path, OperatorRole.viewer, handler);
+/** A read-only route, open to viewers. */
+export function viewerRoute(path: string, handler: OperatorHandler): Route {
+  return createRoute('GET', path, OperatorRole.viewer, handler);
 }
 
-/** A route that needs the role operator. */
-export function changing(method: 'POST' | 'DELETE', path: string, handler: OperatorHandler): Route {
-  return route(method, path, OperatorRole.operator, handler);
+/** A route that requires the role operator. */
+export function operatorRoute(
+  method: 'POST' | 'DELETE',
+  path: string,
+  handler: OperatorHandler,
+): Route {
+  return createRoute(method, path, OperatorRole.operator, handler);
 }
 
-/** The route of a request and the object that its path names; throws `NotFound`. */
-export function findRoute(
+/** Finds the route of a request and the parameter in its path; throws `NotFound`. */
+export function matchRoute(
   routes: readonly Route[],
   method: string,
   pathname: string,
 ): { route: Route; parameter: string } {
-  const found = routes.find((each) => each.method === method && each.path.test(pathname));
-  if (!found) throw new NotFound(`There is no ${method} ${pathname}.`);
-  return { route: found, parameter: decodeURIComponent(found.path.exec(pathname)?.[1] ?? '') };
+  const route = routes.find((each) => each.method === method && each.path.test(pathname));
+  if (!route) throw new NotFound(`There is no ${method} ${pathname}.`);
+  return { route, parameter: decodeURIComponent(route.path.exec(pathname)?.[1] ?? '') };
 }
--- a/packages/entry/src/operatorServer.ts
+++ b/packages/entry/src/operatorServer.ts
@@ -6,23 +6,23 @@
 import type { EntrySettings, HistogramMetrics } from '@laburnumstream/runtime';
 import type { ConfigurationHolder } from './configurationEditor.js';
 import { authenticate } from './operatorAuthentication.js';
-import type { KnownOperator } from './operatorAuthentication.js';
-import { findRoute } from './operatorRoutes.js';
-import type { ChangeMode, OperatorCall, Route } from './operatorRoutes.js';
+import type { AuthenticatedOperator } from './operatorAuthentication.js';
+import { matchRoute } from './operatorRoutes.js';
+import type { ChangeOptions, OperatorCall, Route } from './operatorRoutes.js';
 
 const readRate = { perSecond: 200, burst: 400 };
 const changeRate = { perSecond: 20, burst: 60 };
-const mostRunning = 128;
-const overloadRetryMs = 1_000;
-const longestChangeId = 100;
+const maxActiveCalls = 128;
+const overloadRetryAfterMs = 1_000;
+const maxChangeIdLength = 100;
 
-function changeMode(fields: Readonly<Record<string, unknown>>): ChangeMode {
+function parseChangeOptions(fields: Readonly<Record<string, unknown>>): ChangeOptions {
   const { dryRun = false, changeId, ifRevision } = fields;
   if (typeof dryRun !== 'boolean') throw new InvalidInput('dryRun: expected true or false');
   const isId =
-    typeof changeId === 'string' && changeId !== '' && changeId.length <= longestChangeId;
+    typeof changeId === 'string' && changeId !== '' && changeId.length <= maxChangeIdLength;
   if (changeId !== undefined && !isId) {
-    throw new InvalidInput(`changeId: expected a text of 1 to ${longestChangeId} characters`);
+    throw new InvalidInput(`changeId: expected a text of 1 to ${maxChangeIdLength} characters`);
   }
   if (ifRevision !== undefined && !(Number.isInteger(ifRevision) && Number(ifRevision) >= 0)) {
     throw new InvalidInput('ifRevision: expected a whole number');
@@ -34,18 +34,18 @@
   };
 }
 
-/** Serves operators: the administration API under /admin/v1. */
+/** HTTP server for operators: the administration API under /admin/v1, and /metrics. */
 export class OperatorServer {
-  private readonly rates = {
+  private readonly rateLimits = {
     [OperatorRole.viewer]: new RateLimit(readRate),
     [OperatorRole.operator]: new RateLimit(changeRate),
   };
 
-  private running = 0;
+  private activeCalls = 0;
 
   constructor(
     private readonly settings: EntrySettings,
-    private readonly keeper: ConfigurationHolder,
+    private readonly holder: ConfigurationHolder,
     private readonly routes: readonly Route[],
     private readonly metrics: HistogramMetrics,
     private readonly clock: Clock,
@@ -53,10 +53,10 @@
   ) {}
 
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    this.running += 1;
+    this.activeCalls += 1;
     try {
-      if (this.running > mostRunning) {
-        throw new Overloaded('Too many administration calls run.', overloadRetryMs);
+      if (this.activeCalls > maxActiveCalls) {
+        throw new Overloaded('Too many administration calls run.', overloadRetryAfterMs);
       }
       const url = new URL(request.url ?? '/', 'http://entry');
       if (url.pathname === '/metrics') response.end(this.metrics.render());
@@ -64,35 +64,41 @@
     } catch (error) {
       sendFailure(response, error);
     } finally {
-      this.running -= 1;
+      this.activeCalls -= 1;
     }
   }
 
   private async serve(url: URL, request: IncomingMessage): Promise<unknown> {
-    const { configuration } = this.keeper;
-    const known = authenticate(request, configuration, this.settings.bootstrapOperators);
+    const { configuration } = this.holder;
+    const authenticated = authenticate(request, configuration, this.settings.bootstrapOperators);
     const { method = '' } = request;
     try {
-      return await this.serveKnown(known, url, request);
+      return await this.serveAuthenticated(authenticated, url, request);
     } catch (error) {
       const { type, message } = toFailure(error);
       this.metrics.count(`administration_refused_${type}`);
-      const fields = { operator: known.name, method, path: url.pathname, type, reason: message };
+      const fields = {
+        operator: authenticated.name,
+        method,
+        path: url.pathname,
+        type,
+        reason: message,
+      };
       if (method !== 'GET') this.log.warn('Change refused.', fields);
       throw error;
     }
   }
 
-  private async serveKnown(
-    { name, operator }: KnownOperator,
+  private async serveAuthenticated(
+    { name, operator }: AuthenticatedOperator,
     url: URL,
     request: IncomingMessage,
   ): Promise<unknown> {
-    const { route, parameter } = findRoute(this.routes, request.method ?? 'GET', url.pathname);
+    const { route, parameter } = matchRoute(this.routes, request.method ?? 'GET', url.pathname);
     if (route.role === OperatorRole.operator && operator.role !== OperatorRole.operator) {
       throw new Forbidden('The role viewer may not change anything.');
     }
-    this.rates[route.role].take(name, this.clock.now());
+    this.rateLimits[route.role].take(name, this.clock.now());
     const { options } = this.settings;
     const text = await readBody(request, options.maxBodyBytes);
     const body = text ? parseObject(text) : {};
@@ -105,8 +111,8 @@
       parameter,
       query: url.searchParams,
       fields,
-      mode: changeMode({ dryRun, changeId, ifRevision }),
-      by: { author: name, reason: reason ?? '', at: this.clock.wall() },
+      changeOptions: parseChangeOptions({ dryRun, changeId, ifRevision }),
+      attribution: { author: name, reason: reason ?? '', at: this.clock.wall() },
       signal: AbortSignal.timeout(options.requestTimeoutMs),
     };
     return route.handler(call);
--- a/packages/entry/src/partialAnswer.ts
+++ b/packages/entry/src/partialAnswer.ts
@@ -3,39 +3,39 @@
 import { AnswerAssembly, callDigest } from '@laburnumstream/decisions';
 import type { End } from '@laburnumstream/protocol';
 import { sha256 } from '@laburnumstream/runtime';
-import type { AnswerPart } from './callerRequest.js';
+import type { ResponsePart } from './callerRequest.js';
 
-/** What has come of an answer so far, over all attempts. */
-export class PartialAnswer {
+/** The part of a response received so far, across all attempts. */
+export class PartialResponse {
   readonly assembly = new AnswerAssembly(sha256);
 
   private weightsDigest = '';
 
-  private call: PlainAnswer | undefined;
+  private callResponse: PlainAnswer | undefined;
 
-  /** Digest of the weights that gave the tokens so far; empty before the first token. */
+  /** Digest of the weights that generated the tokens so far; empty before the first token. */
   get weights(): string {
     return this.weightsDigest;
   }
 
-  /** Tokens of these weights have come. */
-  begin(weights: string): void {
+  /** Records which weights generate the response. */
+  setWeights(weights: string): void {
     this.weightsDigest = weights;
   }
 
-  /** A plain service's answer has come. */
-  take(call: PlainAnswer): void {
-    this.call = call;
+  /** Stores the response of a plain service until the end frame confirms it. */
+  setCallResponse(callResponse: PlainAnswer): void {
+    this.callResponse = callResponse;
   }
 
-  /** Checks the end mark; throws `Corrupted` when the answer is not whole. */
-  finish({ count, digest, firstIndex }: End): AnswerPart {
-    const { call, assembly } = this;
-    if (!call) {
+  /** Verifies the end frame's digest; throws `Corrupted` when the response is incomplete or altered. */
+  finish({ count, digest, firstIndex }: End): ResponsePart {
+    const { callResponse, assembly } = this;
+    if (!callResponse) {
       assembly.finish(count, digest, firstIndex);
       return { kind: 'end', count, digest: assembly.digest };
     }
-    if (digest !== callDigest(call.status, call.body, sha256)) {
+    if (digest !== callDigest(callResponse.status, callResponse.body, sha256)) {
       throw new Corrupted('The answer does not match its end mark.');
     }
     return { kind: 'end', count, digest };
--- a/packages/entry/src/prober.ts
+++ b/packages/entry/src/prober.ts
@@ -2,27 +2,28 @@
 import { createClient } from '@laburnumstream/links';
 import type { LinkPool } from '@laburnumstream/links';
 import { AgentService } from '@laburnumstream/protocol';
-import type { Directory } from './directory.js';
+import type { MemberDirectory } from './directory.js';
 
-interface Trial {
-  readonly since: number;
-  due: number;
+/** Backoff state of one unreachable agent; times are monotonic, in milliseconds. */
+interface ProbeState {
+  readonly unreachableSince: number;
+  dueAt: number;
   delayMs: number;
 }
 
-const lookMs = 100;
-const firstDelayMs = 100;
-const longestDelayMs = 8_000;
+const pollMs = 100;
+const initialDelayMs = 100;
+const maxDelayMs = 8_000;
 const timeoutMs = 1_000;
-/** Time without an answer after which an agent that reports to nobody here counts as gone. */
-const giveUpMs = 30_000;
+/** Time after which an unreachable agent that sends no heartbeats here is declared gone. */
+const giveUpAfterMs = 30_000;
 
-/** Tries agents that could not be reached, with growing pauses, until they answer. */
+/** Probes agents that could not be reached, with exponential backoff, until they respond. */
 export class Prober {
-  private readonly trials = new Map<string, Trial>();
+  private readonly probes = new Map<string, ProbeState>();
 
   constructor(
-    private readonly directory: Directory,
+    private readonly directory: MemberDirectory,
     private readonly links: LinkPool,
     private readonly clock: Clock,
   ) {}
@@ -30,47 +31,47 @@
   /** Probes until the signal fires. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.startDue(signal);
-      await this.clock.sleep(lookMs, signal).catch(() => undefined);
+      this.startDueProbes(signal);
+      await this.clock.sleep(pollMs, signal).catch(() => undefined);
     }
   }
 
-  private startDue(signal: AbortSignal): void {
+  private startDueProbes(signal: AbortSignal): void {
     const now = this.clock.now();
-    const { suspects } = this.directory;
-    if (suspects.length === 0) this.trials.clear();
-    suspects.forEach((name) => {
-      const trial = this.trialOf(name, now);
-      if (now < trial.due) return;
-      trial.due = now + trial.delayMs + timeoutMs;
-      trial.delayMs = Math.min(trial.delayMs * 2, longestDelayMs);
-      void this.probe(name, trial, signal);
+    const { unreachableAgents } = this.directory;
+    if (unreachableAgents.length === 0) this.probes.clear();
+    unreachableAgents.forEach((name) => {
+      const state = this.getProbe(name, now);
+      if (now < state.dueAt) return;
+      state.dueAt = now + state.delayMs + timeoutMs;
+      state.delayMs = Math.min(state.delayMs * 2, maxDelayMs);
+      void this.probe(name, state, signal);
     });
   }
 
-  private trialOf(name: string, now: number): Trial {
-    let trial = this.trials.get(name);
-    if (!trial) {
-      trial = { since: now, due: now + firstDelayMs, delayMs: firstDelayMs };
-      this.trials.set(name, trial);
+  private getProbe(name: string, now: number): ProbeState {
+    let state = this.probes.get(name);
+    if (!state) {
+      state = { unreachableSince: now, dueAt: now + initialDelayMs, delayMs: initialDelayMs };
+      this.probes.set(name, state);
     }
-    return trial;
+    return state;
   }
 
-  private async probe(name: string, trial: Trial, signal: AbortSignal): Promise<void> {
-    const address = this.directory.addressOf(name);
+  private async probe(name: string, state: ProbeState, signal: AbortSignal): Promise<void> {
+    const address = this.directory.getAddress(name);
     if (!address) {
-      this.directory.clear(name);
+      this.directory.clearUnreachable(name);
       return;
     }
     try {
       await createClient(AgentService, this.links.to(address)).probe({}, { signal, timeoutMs });
-      this.directory.clear(name);
-      this.trials.delete(name);
+      this.directory.clearUnreachable(name);
+      this.probes.delete(name);
     } catch {
       this.links.replace(address);
       const now = this.clock.now();
-      if (now - trial.since > giveUpMs) this.directory.members.giveUp(name, now);
+      if (now - state.unreachableSince > giveUpAfterMs) this.directory.members.giveUp(name, now);
     }
   }
 }
--- a/packages/entry/src/requestDispatcher.ts
+++ b/packages/entry/src/requestDispatcher.ts
@@ -3,107 +3,113 @@
 import { Recovery, RetryBudget, homeOf, isIn, policyFor } from '@laburnumstream/decisions';
 import type { Configuration } from '@laburnumstream/decisions';
 import type { EntrySettings } from '@laburnumstream/runtime';
-import type { AttemptReader } from './attempt.js';
-import { isKeyed, unitsOf } from './callerRequest.js';
-import type { AnswerPart, CallerRequest } from './callerRequest.js';
-import { Course } from './course.js';
+import type { AttemptRunner } from './attempt.js';
+import { usesIdempotencyKey, getWorkUnits } from './callerRequest.js';
+import type { ResponsePart, CallerRequest } from './callerRequest.js';
+import { DispatchState } from './course.js';
 import type { CrashGuard } from './crashGuard.js';
-import type { Directory } from './directory.js';
+import type { MemberDirectory } from './directory.js';
 import type { Router } from './router.js';
 
 const retryAfterMs = 500;
 
-/** The endpoint of an attempt. */
-interface Target {
+/** The agent to which a request is dispatched. */
+interface DispatchTarget {
   readonly name: string;
   readonly address: string;
 }
 
-/** What names the one agent at which requests have to meet, if any. */
-function homeKeyOf({ request, alone }: Course): string | undefined {
+/**
+ * Rendezvous key of a request that must go to one particular agent, whichever entry dispatches it;
+ * undefined when any agent will do.
+ */
+function getRendezvousKey({ request, alone }: DispatchState): string | undefined {
   const { workspace, service, idempotencyKey } = request;
-  // Suspects of all entries meet at one agent, which runs them one after the other.
+  // All entries send suspected requests to the same agent, which runs them one at a time.
   if (alone) return `alone\n${service}`;
-  return isKeyed(request) ? `${workspace}\n${service}\n${idempotencyKey}` : undefined;
+  return usesIdempotencyKey(request) ? `${workspace}\n${service}\n${idempotencyKey}` : undefined;
 }
 
-/** Routes requests to agents, and repeats or resumes those that were cut. */
+/** Dispatches requests to agents; retries or resumes those whose attempt failed. */
 export class RequestDispatcher {
-  private readonly retries = new RetryBudget();
+  private readonly retryBudget = new RetryBudget();
 
   constructor(
     private readonly settings: EntrySettings,
     private readonly configuration: () => Configuration,
-    private readonly directory: Directory,
-    private readonly reader: AttemptReader,
-    private readonly guard: CrashGuard,
+    private readonly directory: MemberDirectory,
+    private readonly attemptRunner: AttemptRunner,
+    private readonly crashGuard: CrashGuard,
     private readonly router: Router,
-    private readonly wall: () => number,
+    private readonly wallNow: () => number,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {}
 
-  /** The parts of a request's whole answer; throws a typed failure. */
-  async *dispatch(request: CallerRequest, signal: AbortSignal): AsyncGenerator<AnswerPart> {
-    const deadline = this.wall() + this.settings.options.requestTimeoutMs;
-    const course = new Course(request, deadline, signal);
+  /** Yields the parts of the response in order, across all attempts; throws a `Failure`. */
+  async *dispatch(request: CallerRequest, signal: AbortSignal): AsyncGenerator<ResponsePart> {
+    const deadline = this.wallNow() + this.settings.options.requestTimeoutMs;
+    const state = new DispatchState(request, deadline, signal);
     const { workspace, service } = request;
     const { dataCentre } = this.settings;
-    const place = { workspace, service, dataCentre };
-    const { maxAttempts } = policyFor(this.configuration(), place, this.wall());
+    const scope = { workspace, service, dataCentre };
+    const { maxAttempts } = policyFor(this.configuration(), scope, this.wallNow());
     let failure: Failure = new Unavailable('No endpoint can take the request.', retryAfterMs);
-    this.retries.earn(workspace);
-    while (course.dispatches < maxAttempts && this.mayDispatch(course)) {
-      this.judge(course);
-      const target = this.choose(course);
+    this.retryBudget.earn(workspace);
+    while (state.dispatches < maxAttempts && this.mayDispatch(state)) {
+      this.checkVerdict(state);
+      const target = this.selectTarget(state);
       if (!target) break;
-      course.dispatchTo(target.name);
+      state.recordDispatch(target.name);
       let recovery: Recovery = Recovery.reconnect;
       while (recovery === Recovery.reconnect) {
         try {
-          yield* this.attempt(course, target);
-          if (course.alone) await this.guard.survived(request);
+          yield* this.runAttempt(state, target);
+          if (state.alone) await this.crashGuard.recordSurvival(request);
           return;
         } catch (error) {
           failure = toFailure(error);
-          recovery = this.recover(course, target, failure);
-          if (course.loss) await this.guard.lost(request, course.loss, course.alone);
+          recovery = this.handleFailure(state, target, failure);
+          if (state.loss) await this.crashGuard.recordLoss(request, state.loss, state.alone);
         }
       }
-      // Suspects run one after the other: a busy place for them is no reason to use a second one.
-      const mustWait = course.alone && failure.type === Overloaded.type;
-      if (recovery === Recovery.giveUp || mustWait) break;
+      // Suspected requests run one at a time at a single agent: no failover when it is overloaded.
+      const mustNotFailOver = state.alone && failure.type === Overloaded.type;
+      if (recovery === Recovery.giveUp || mustNotFailOver) break;
     }
-    throw course.final(failure);
+    throw state.toCallerFailure(failure);
   }
 
-  /** Whether the budget of retries allows another dispatch; the first one needs none. */
-  private mayDispatch({ dispatches, request }: Course): boolean {
-    if (dispatches === 0 || this.retries.spend(request.workspace)) return true;
+  /** Whether the retry budget allows another dispatch; the first one is always allowed. */
+  private mayDispatch({ dispatches, request }: DispatchState): boolean {
+    if (dispatches === 0 || this.retryBudget.spend(request.workspace)) return true;
     this.metrics.count('retries_over_budget');
     return false;
   }
 
-  /** Notes whether the request must run alone; throws when it must not run at all. */
-  private judge(course: Course): void {
+  /** Records whether the request must run alone; throws when it is known to crash endpoints. */
+  private checkVerdict(state: DispatchState): void {
     try {
-      course.judge(this.guard.mustRunAlone(course.request));
+      state.setAlone(this.crashGuard.mustRunAlone(state.request));
     } catch (error) {
-      throw course.final(toFailure(error));
+      throw state.toCallerFailure(toFailure(error));
     }
   }
 
-  private choose(course: Course): Target | undefined {
-    const { request, tried, partial } = course;
-    const home = homeKeyOf(course);
-    const name = home
-      ? this.homeOf(home, course)
+  private selectTarget(state: DispatchState): DispatchTarget | undefined {
+    const { request, tried, partial } = state;
+    const key = getRendezvousKey(state);
+    const name = key
+      ? this.selectByRendezvous(key, state)
       : this.router.choose(request, tried, partial.weights);
-    const address = name && this.directory.addressOf(name);
+    const address = name && this.directory.getAddress(name);
     return address ? { name, address } : undefined;
   }
 
-  private homeOf(key: string, { request, tried, partial }: Course): string | undefined {
+  private selectByRendezvous(
+    key: string,
+    { request, tried, partial }: DispatchState,
+  ): string | undefined {
     const isOpen = (dataCentre: string): boolean => isIn(this.configuration(), dataCentre);
     const { weights } = partial;
     const candidates = this.directory
@@ -113,33 +119,36 @@
     return homeOf(key, candidates, this.settings)?.name;
   }
 
-  private async *attempt(course: Course, target: Target): AsyncGenerator<AnswerPart> {
-    const { request, partial, signal, deadline } = course;
+  private async *runAttempt(
+    state: DispatchState,
+    target: DispatchTarget,
+  ): AsyncGenerator<ResponsePart> {
+    const { request, partial, signal, deadline } = state;
     const attempt = {
-      number: course.nextAttempt(),
+      number: state.nextAttemptNumber(),
       address: target.address,
-      attachOnly: course.mayOnlyAttach,
-      alone: course.alone,
-      timeoutMs: Math.max(1, deadline - this.wall()),
+      attachOnly: state.mayOnlyAttach,
+      alone: state.alone,
+      timeoutMs: Math.max(1, deadline - this.wallNow()),
     };
-    const units = unitsOf(request);
-    this.router.start(target.name, units);
+    const units = getWorkUnits(request);
+    this.router.recordStart(target.name, units);
     try {
-      for await (const part of this.reader.read(request, attempt, partial, signal)) {
-        course.progress();
+      for await (const part of this.attemptRunner.run(request, attempt, partial, signal)) {
+        state.recordProgress();
         yield part;
       }
     } finally {
-      this.router.end(target.name, units);
+      this.router.recordEnd(target.name, units);
     }
   }
 
-  private recover(course: Course, target: Target, failure: Failure): Recovery {
-    const { id } = course.request;
-    this.log.debug('Attempt failed.', { id, attempt: course.attempts, type: failure.type });
-    const recovery = course.recover(failure);
-    const leaves = recovery !== Recovery.reconnect;
-    if (leaves && failure instanceof LinkLost) this.router.suspect(target.name);
+  private handleFailure(state: DispatchState, target: DispatchTarget, failure: Failure): Recovery {
+    const { id } = state.request;
+    this.log.debug('Attempt failed.', { id, attempt: state.attempts, type: failure.type });
+    const recovery = state.handleFailure(failure);
+    const abandonsAgent = recovery !== Recovery.reconnect;
+    if (abandonsAgent && failure instanceof LinkLost) this.router.markUnreachable(target.name);
     if (recovery !== Recovery.giveUp) this.metrics.count(`requests_recovered_${recovery}`);
     return recovery;
   }
--- a/packages/entry/src/rollOutGuard.ts
+++ b/packages/entry/src/rollOutGuard.ts
@@ -6,18 +6,18 @@
 import { stopRollOut } from './changes.js';
 import type { ConfigurationEditor } from './configurationEditor.js';
 
-const checkMs = 500;
+const checkIntervalMs = 500;
 
-/** What endpoints report of versions that they hold for unfit. */
-export function unfitReports(members: readonly LiveMember[]): UnfitReport[] {
+/** The reports of endpoints that consider a version unfit to serve. */
+export function collectUnfitReports(members: readonly LiveMember[]): UnfitReport[] {
   return members.flatMap(({ name, unfit }) =>
     unfit ? [{ instance: name, digest: unfit.digest, reason: unfit.reason }] : [],
   );
 }
 
 /**
- * Stops a roll-out and returns to the version before when an endpoint reports the new one unfit.
- * Runs at every entry: the change is idempotent, and the compare-and-swap lets one of them win.
+ * Stops a roll-out and rolls back to the previous version when an endpoint reports the new one unfit.
+ * Runs at every entry: the change is idempotent, and compare-and-swap lets one entry apply it.
  */
 export class RollOutGuard {
   constructor(
@@ -29,22 +29,23 @@
     private readonly log: Log,
   ) {}
 
+  /** Checks for unfit reports until the signal fires. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.check(signal).catch((error: unknown) =>
-        this.log.warn('A roll-out was not stopped.', { type: toFailure(error).type }),
+      await this.stopUnfitRollOut(signal).catch((error: unknown) =>
+        this.log.warn('Roll-out could not be stopped.', { type: toFailure(error).type }),
       );
-      await this.clock.sleep(checkMs, signal).catch(() => undefined);
+      await this.clock.sleep(checkIntervalMs, signal).catch(() => undefined);
     }
   }
 
-  private async check(signal: AbortSignal): Promise<void> {
-    const found = unfitRelease(this.configuration(), unfitReports(this.members()));
-    if (!found) return;
-    const { model, report } = found;
+  private async stopUnfitRollOut(signal: AbortSignal): Promise<void> {
+    const unfit = unfitRelease(this.configuration(), collectUnfitReports(this.members()));
+    if (!unfit) return;
+    const { model, report } = unfit;
     const reason = `${report.instance} ${report.reason}`;
-    const by = { author: `entry ${this.instance}`, reason, at: this.clock.wall() };
-    await this.editor.apply(stopRollOut(by, model, report), signal);
+    const attribution = { author: `entry ${this.instance}`, reason, at: this.clock.wall() };
+    await this.editor.apply(stopRollOut(attribution, model, report), signal);
     this.log.warn('Roll-out stopped.', { model, reason });
   }
 }
--- a/packages/entry/src/silenceWatch.ts
+++ b/packages/entry/src/silenceWatch.ts
@@ -2,33 +2,36 @@
 import type { Clock } from '@laburnumstream/common';
 
 /**
- * Watches the connection under a stream: gives it up when it stays silent while its reader waits.
- * Hot path: an item costs a reading of the clock; the timer runs on.
+ * Aborts a stream when its connection delivers nothing for `timeoutMs` while the reader waits.
+ * Hot path: each item reads the clock once and never resets the timer.
  */
-export class SilenceWatch {
+export class StreamWatchdog {
   private readonly abort: LinkedAbort;
 
-  /** Monotonic time at which the reader began to wait, in milliseconds; it may be reading. */
+  /**
+   * Monotonic time since which the reader has been waiting for an item, in milliseconds; undefined
+   * while it processes one.
+   */
   private waitingSince: number | undefined;
 
-  private fired = false;
+  private timedOut = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly silenceMs: number,
-    owner: AbortSignal,
-    private readonly onSilence: () => void,
+    private readonly timeoutMs: number,
+    parentSignal: AbortSignal,
+    private readonly onTimeout: () => void,
   ) {
-    this.abort = new LinkedAbort(owner);
-    this.watch().catch(() => undefined);
+    this.abort = new LinkedAbort(parentSignal);
+    this.runTimer().catch(() => undefined);
   }
 
-  /** Passes the items on; throws `LinkLost` when the connection breaks or goes silent. */
-  async *guard<Item>(source: AsyncIterable<Item>): AsyncGenerator<Item> {
+  /** Yields the items of `source`; throws `LinkLost` when the connection breaks or goes silent. */
+  async *wrap<Item>(source: AsyncIterable<Item>): AsyncGenerator<Item> {
     const iterator = source[Symbol.asyncIterator]();
     try {
       for (;;) {
-        const next = await this.next(iterator);
+        const next = await this.readNext(iterator);
         if (next.done) return;
         yield next.value;
       }
@@ -37,6 +40,7 @@
     }
   }
 
+  /** Aborted when the connection goes silent, the parent signal fires or the watchdog is stopped. */
   get signal(): AbortSignal {
     return this.abort.signal;
   }
@@ -45,28 +49,28 @@
     this.abort.end();
   }
 
-  /** A reader that is slow itself is no sign of a silent connection: only its waits count. */
-  private async next<Item>(iterator: AsyncIterator<Item>): Promise<IteratorResult<Item>> {
+  /** Only time spent waiting counts, so that a slow reader does not look like a silent connection. */
+  private async readNext<Item>(iterator: AsyncIterator<Item>): Promise<IteratorResult<Item>> {
     this.waitingSince = this.clock.now();
     try {
       return await iterator.next();
     } catch (error) {
-      const silent = 'The connection to the agent has gone silent.';
-      throw new LinkLost(this.fired ? new OutcomeUnknown(silent, error) : toFailure(error));
+      const message = 'The connection to the agent has gone silent.';
+      throw new LinkLost(this.timedOut ? new OutcomeUnknown(message, error) : toFailure(error));
     } finally {
       this.waitingSince = undefined;
     }
   }
 
-  private async watch(): Promise<void> {
+  private async runTimer(): Promise<void> {
     let silentMs = 0;
-    while (silentMs < this.silenceMs) {
-      await this.clock.sleep(Math.ceil(this.silenceMs - silentMs), this.signal);
+    while (silentMs < this.timeoutMs) {
+      await this.clock.sleep(Math.ceil(this.timeoutMs - silentMs), this.signal);
       const since = this.waitingSince;
       silentMs = since === undefined ? 0 : this.clock.now() - since;
     }
-    this.fired = true;
-    this.onSilence();
+    this.timedOut = true;
+    this.onTimeout();
     this.abort.end();
   }
 }
