--- a/packages/entry/src/configurationEditor.ts
+++ b/packages/entry/src/configurationEditor.ts
@@ -42,7 +42,7 @@
 /** The revision and the id of an accepted change. */
 export type Acceptance = Pick<Configuration, 'revision' | 'changeId'>;
 
-/** Converts a failure to `NotAccepted`: a step failed before anything was written. */
+/** Converts the failure of a step before the write of the document to `NotAccepted`. */
 async function wrapAsNotAccepted<Value>(step: Promise<Value>): Promise<Value> {
   try {
     return await step;
--- a/packages/entry/src/configurationWatcher.ts
+++ b/packages/entry/src/configurationWatcher.ts
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Reads the document, since a restored store may be at an older revision, then watches it. */
+  /** Reads the document first, since the revisions of a restored store may have gone back; then watches it. */
   private async readAndWatch(onStoreReached: () => void, signal: AbortSignal): Promise<void> {
     let stored = await this.store.get(configurationKey, signal);
     onStoreReached();
--- a/packages/entry/src/memberExchange.ts
+++ b/packages/entry/src/memberExchange.ts
@@ -35,7 +35,7 @@
 const batchMs = 100;
 const timeoutMs = 1_000;
 const mismatchesBeforeFullSync = 3;
-/** Time after which a new entry has received a heartbeat from every live member. */
+/** Time within which a new entry without peers to sync with hears the heartbeats of all live members. */
 const startupWaitMs = 4_000;
 const minFullSyncIntervalMs = 2_000;
 const maxFullSyncIntervalMs = 60_000;
@@ -142,7 +142,7 @@
     };
   }
 
-  /** The entries that are neither leaving nor gone; listed ones are included before they are known. */
+  /** Entries that are neither leaving nor gone, including listed ones that have no record yet. */
   private getReachableEntries(): Peer[] {
     const { members } = this.directory;
     const now = this.clock.now();
