--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -36,8 +36,8 @@
   ) {}
 
   /**
-   * Yields the response parts that earlier attempts have not delivered. Throws when the agent refuses
-   * the request or the response is interrupted or incomplete.
+   * Yields the response parts that earlier attempts have not delivered. Throws when the agent
+   * refuses the request or the response is interrupted or incomplete.
    */
   async *run(
     request: CallerRequest,
--- a/packages/entry/src/configurationEditor.ts
+++ b/packages/entry/src/configurationEditor.ts
@@ -65,9 +65,10 @@
   }
 
   /**
-   * Applies a change and returns its revision. When the response to a write is lost, reads the document
-   * again to find out whether the write was applied. Throws `NotAccepted` or another refusal only when
-   * the change is certainly not accepted, and `AcceptanceUnknown` when that stays unknown.
+   * Applies a change and returns its revision. When the response to a write is lost, reads the
+   * document again to find out whether the write was applied. Throws `NotAccepted` or another
+   * refusal only when the change is certainly not accepted, and `AcceptanceUnknown` when that cannot
+   * be found out in time.
    */
   async apply(change: Change, parentSignal: AbortSignal): Promise<Acceptance> {
     const timeout = new AbortController();
@@ -178,7 +179,7 @@
       }
       try {
         const stored = await this.store.get(configurationKey, signal);
-        // While the key is unchanged, a delayed write may still be applied; another write resolves that.
+        // While the key is unchanged, a delayed write may still be applied; writing again decides.
         if ((stored?.revision ?? 0) !== ifRevision) {
           const current = parseConfiguration(stored?.value ?? '{}');
           const record = await this.auditTrail.findByRevision(current, revision, signal);
--- a/packages/entry/src/configurationKeeper.ts
+++ b/packages/entry/src/configurationKeeper.ts
@@ -12,7 +12,7 @@
 /** Called with each revision that comes into force. */
 export type AdoptionListener = (revision: number, source: DocumentSource) => void;
 
-/** This entry's replica of the configuration: the newest one received; never reverts to an older one. */
+/** This entry's replica of the configuration: the newest one received, never an older one again. */
 export class ConfigurationReplica implements ConfigurationHolder {
   private current: Configuration = emptyConfiguration;
 
--- a/packages/entry/src/configurationSpreader.ts
+++ b/packages/entry/src/configurationSpreader.ts
@@ -17,8 +17,8 @@
 const maxSkippedLevels = 3;
 
 /**
- * Replicates the configuration between entries: some watch the store, all compare revisions with a few
- * peers in each round, and new revisions are announced along a tree.
+ * Replicates the configuration between entries: some watch the store, all compare revisions with a
+ * few peers in each round, and new revisions are announced along a tree.
  */
 export class ConfigurationReplicator {
   private readonly topology: Spread;
--- a/packages/entry/src/configurationWatcher.ts
+++ b/packages/entry/src/configurationWatcher.ts
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Reads the document first, since the revisions of a restored store may have gone back; then watches it. */
+  /** Reads before watching, since the key's revisions may have gone back in a restored store. */
   private async readAndWatch(onStoreReached: () => void, signal: AbortSignal): Promise<void> {
     let stored = await this.store.get(configurationKey, signal);
     onStoreReached();
--- a/packages/entry/src/course.ts
+++ b/packages/entry/src/course.ts
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Resets the reconnect count when a response part arrives, since the connection works. Keeps 1 after
-   * a reconnect, so that a non-idempotent run without a key is still only attached to.
+   * Resets the reconnect count when a response part arrives, since the connection works. Keeps 1
+   * after a reconnect, so that a non-idempotent run without a key is still only attached to.
    */
   recordProgress(): void {
     this.reconnects = Math.min(this.reconnects, 1);
--- a/packages/entry/src/crashGuard.ts
+++ b/packages/entry/src/crashGuard.ts
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Records that an endpoint was lost while it ran the request. Other entries get the verdict before
-   * the request is retried.
+   * Records that an endpoint was lost while it ran the request. Other entries get the verdict
+   * before the request is retried.
    */
   async recordLoss(suspect: Suspect, loss: Loss, alone: boolean): Promise<void> {
     await this.broadcast(this.verdicts.lost(suspect, loss, alone, this.clock.now()));
@@ -72,7 +72,7 @@
       .filter(({ fingerprint, version }) => version > (versions.get(fingerprint) ?? 0));
   }
 
-  /** Periodically exchanges verdicts with a random entry, so that missed broadcasts are repaired. */
+  /** Periodically exchanges verdicts with a random entry, to make up for missed broadcasts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const peers = this.peers();
--- a/packages/entry/src/directory.ts
+++ b/packages/entry/src/directory.ts
@@ -180,7 +180,7 @@
     return { name, dataCentre, region, reported: inFlight + queued, limit };
   }
 
-  /** Data centres to skip this time: a ramping one is admitted with its current share as probability. */
+  /** Data centres to skip this time; a ramping one is admitted with probability of its share. */
   private selectWithheld(open: readonly MemberRecord[], now: number): ReadonlySet<string> {
     const withheld = new Set<string>();
     const seen = new Set<string>();
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -251,8 +251,8 @@
   }
 
   /**
-   * Shuts down gracefully: fails readiness checks, keeps serving until the load balancer has noticed,
-   * then closes the listener, waits for active requests and stops.
+   * Shuts down gracefully: fails readiness checks, keeps serving until the load balancer has
+   * noticed, then closes the listener, waits for active requests and stops.
    */
   async stop(): Promise<void> {
     const { balancerNoticeMs } = this.settings.options;
@@ -287,8 +287,8 @@
   }
 
   /**
-   * After a process pause, requests wait until the configuration has been refreshed. After the start,
-   * they wait until the members are known, and readiness checks fail until then.
+   * After a process pause, requests wait until the configuration has been refreshed. After the
+   * start, they wait until the members are known, and readiness checks fail until then.
    */
   private async serveCaller(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (!this.pauseGuard.isSettled()) await this.pauseGuard.settled();
@@ -303,9 +303,9 @@
   }
 
   /**
-   * Whether enough members are known to route requests. The entry that answered the full sync may be
-   * new itself and know only some members, so each service must have an endpoint, unless this entry has
-   * run long enough to hear the heartbeats itself.
+   * Whether enough members are known to route requests. The peer of the full sync may be new itself
+   * and know only some members, so each service must have an endpoint, unless this entry has run
+   * long enough to receive the heartbeats itself.
    */
   private hasMembership(): boolean {
     this.isMembershipKnown ||=
--- a/packages/entry/src/memberExchange.ts
+++ b/packages/entry/src/memberExchange.ts
@@ -35,7 +35,7 @@
 const batchMs = 100;
 const timeoutMs = 1_000;
 const mismatchesBeforeFullSync = 3;
-/** Time within which a new entry without peers to sync with hears the heartbeats of all live members. */
+/** Time within which a new entry without peers receives heartbeats from all live members. */
 const startupWaitMs = 4_000;
 const minFullSyncIntervalMs = 2_000;
 const maxFullSyncIntervalMs = 60_000;
@@ -48,7 +48,7 @@
   isExchanging: false,
 };
 
-/** Gossips membership records with a few other entries; sends only changes, except in full syncs. */
+/** Gossips membership records with a few other entries; sends only changes between full syncs. */
 export class MembershipGossip {
   private readonly peerStates = new Map<string, PeerState>();
 
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Whether the members are known from a full sync or from the heartbeats received since the start. */
+  /** Whether the members are known, from a full sync or from heartbeats since the start. */
   get isSynced(): boolean {
     this.hasSyncedMembers ||= this.hasWaitedForHeartbeats;
     return this.hasSyncedMembers;
@@ -264,8 +264,8 @@
   }
 
   /**
-   * Heartbeat timeouts apply only to entries of the own data centre: a partition between data centres
-   * must not make the others' entries count as gone.
+   * Heartbeat timeouts apply only to entries of the own data centre: a partition between data
+   * centres must not make the others' entries count as gone.
    */
   private recordPeerHeartbeat(self: NonNullable<ExchangeRequest['self']>): number {
     if (self.dataCentre === this.self.dataCentre) return this.directory.recordHeartbeat(self);
--- a/packages/entry/src/operatorAuthentication.ts
+++ b/packages/entry/src/operatorAuthentication.ts
@@ -12,10 +12,7 @@
   readonly operator: Operator;
 }
 
-/**
- * The operator with this name in a document; throws `Unauthenticated` when the document no longer has
- * it.
- */
+/** The operator with this name; throws `Unauthenticated` when the document no longer has it. */
 export function getOperator(configuration: Configuration, name: string): Operator {
   const isBootstrap = name.startsWith(bootstrapPrefix) && !hasUnlimitedOperator(configuration);
   const operator = isBootstrap
--- a/packages/entry/src/partialAnswer.ts
+++ b/packages/entry/src/partialAnswer.ts
@@ -28,7 +28,7 @@
     this.callResponse = callResponse;
   }
 
-  /** Verifies the end frame's digest; throws `Corrupted` when the response is incomplete or altered. */
+  /** Verifies the digest of the end frame; throws `Corrupted` for an incomplete or altered response. */
   finish({ count, digest, firstIndex }: End): ResponsePart {
     const { callResponse, assembly } = this;
     if (!callResponse) {
--- a/packages/entry/src/rollOutGuard.ts
+++ b/packages/entry/src/rollOutGuard.ts
@@ -16,8 +16,8 @@
 }
 
 /**
- * Stops a roll-out and rolls back to the previous version when an endpoint reports the new one unfit.
- * Runs at every entry: the change is idempotent, and compare-and-swap lets one entry apply it.
+ * Stops a roll-out and rolls back to the previous version when an endpoint reports the new one
+ * unfit. Runs at every entry: the change is idempotent, and compare-and-swap lets one entry win.
  */
 export class RollOutGuard {
   constructor(
--- a/packages/entry/src/router.ts
+++ b/packages/entry/src/router.ts
@@ -35,7 +35,7 @@
   Object.assign(target, { reported, limit: Math.max(1, limit), ownAtReport: target.own });
 }
 
-/** Selects endpoints for requests from routing tables that are rebuilt when the membership changes. */
+/** Selects endpoints from routing tables that are rebuilt when the membership changes. */
 export class Router {
   private readonly targets = new Map<string, Target>();
 
--- a/packages/entry/src/silenceWatch.ts
+++ b/packages/entry/src/silenceWatch.ts
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Aborted when the connection goes silent, the parent signal fires or the watchdog is stopped. */
+  /** Fires when the connection goes silent, the parent aborts or the watchdog is stopped. */
   get signal(): AbortSignal {
     return this.abort.signal;
   }
@@ -49,7 +49,7 @@
     this.abort.end();
   }
 
-  /** Only time spent waiting counts, so that a slow reader does not look like a silent connection. */
+  /** Only waits count, so that a slow reader does not look like a silent connection. */
   private async readNext<Item>(iterator: AsyncIterator<Item>): Promise<IteratorResult<Item>> {
     this.waitingSince = this.clock.now();
     try {
