--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -54,7 +54,7 @@
   },
   {
     name: 'honest execution of a refusal',
-    file: 'packages/entry/dist/course.js',
+    file: 'packages/entry/dist/dispatchState.js',
     find: 'if (failure.execution !== Execution.notRun || !unsure)',
     replace: 'if (true)',
     test: 'Histories of concurrent requests: histories with faults',
@@ -75,7 +75,7 @@
   },
   {
     name: 'never back to an older configuration',
-    file: 'packages/entry/dist/configurationKeeper.js',
+    file: 'packages/entry/dist/configurationReplica.js',
     find: 'if (revision <= this.current.revision)',
     replace: 'if (revision === this.current.revision)',
     test: 'Spread of configurations: store restored to an older state',
--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attemptRunner.ts
@@ -5,8 +5,8 @@
 import type { RunMessage } from '@laburnumstream/links';
 import type { EndpointLoad, RunFrame } from '@laburnumstream/protocol';
 import type { ResponsePart, CallerRequest } from './callerRequest.js';
-import type { PartialResponse } from './partialAnswer.js';
-import { StreamWatchdog } from './silenceWatch.js';
+import type { PartialResponse } from './partialResponse.js';
+import { StreamWatchdog } from './streamWatchdog.js';
 
 /** Sends requests to agents and returns their response frames. */
 export interface RunTransport {
--- a/packages/entry/src/callerServer.ts
+++ b/packages/entry/src/callerServer.ts
@@ -19,7 +19,7 @@
   sha256,
 } from '@laburnumstream/runtime';
 import type { EntrySettings } from '@laburnumstream/runtime';
-import { sendCallResponse, sendCompletion, streamCompletion } from './answers.js';
+import { sendCallResponse, sendCompletion, streamCompletion } from './responses.js';
 import type { CallerRequest } from './callerRequest.js';
 import type { RequestDispatcher } from './requestDispatcher.js';
 
--- a/packages/entry/src/configurationSpreader.ts
+++ b/packages/entry/src/configurationReplicator.ts
@@ -1,8 +1,8 @@
 import { Timeout, toFailure } from '@laburnumstream/common';
 import type { Clock, Instance, Log, Metrics, Random } from '@laburnumstream/common';
 import { Spread } from '@laburnumstream/decisions';
-import { DocumentSource } from './configurationKeeper.js';
-import type { ConfigurationReplica } from './configurationKeeper.js';
+import { DocumentSource } from './configurationReplica.js';
+import type { ConfigurationReplica } from './configurationReplica.js';
 import type { ConfigurationPeers } from './configurationPeers.js';
 import type { ConfigurationWatcher } from './configurationWatcher.js';
 
--- a/packages/entry/src/configurationService.ts
+++ b/packages/entry/src/configurationService.ts
@@ -3,10 +3,10 @@
 import type { LinkPool } from '@laburnumstream/links';
 import type { AnnounceRequest, SyncRequest } from '@laburnumstream/protocol';
 import type { EntrySettings } from '@laburnumstream/runtime';
-import type { ConfigurationReplica } from './configurationKeeper.js';
-import { ConfigurationReplicator } from './configurationSpreader.js';
+import type { ConfigurationReplica } from './configurationReplica.js';
+import { ConfigurationReplicator } from './configurationReplicator.js';
 import { ConfigurationWatcher } from './configurationWatcher.js';
-import { ConfigurationPeerClient } from './linkedPeers.js';
+import { ConfigurationPeerClient } from './configurationPeerClient.js';
 
 /** Dependencies of the configuration service. */
 export interface ConfigurationDependencies {
--- a/packages/entry/src/configurationWatcher.ts
+++ b/packages/entry/src/configurationWatcher.ts
@@ -8,7 +8,7 @@
   StoredValue,
 } from '@laburnumstream/common';
 import { configurationKey, parseConfiguration } from '@laburnumstream/decisions';
-import type { ConfigurationReplica } from './configurationKeeper.js';
+import type { ConfigurationReplica } from './configurationReplica.js';
 
 const initialRetryMs = 250;
 const maxRetryMs = 4_000;
--- a/packages/entry/src/course.ts
+++ b/packages/entry/src/dispatchState.ts
@@ -2,7 +2,7 @@
 import { Loss, Recovery, recoveryOf } from '@laburnumstream/decisions';
 import { usesIdempotencyKey } from './callerRequest.js';
 import type { CallerRequest } from './callerRequest.js';
-import { PartialResponse } from './partialAnswer.js';
+import { PartialResponse } from './partialResponse.js';
 
 /** State of one request across its attempts: tried endpoints, partial response, possible runs. */
 export class DispatchState {
--- a/packages/entry/src/memberExchange.ts
+++ b/packages/entry/src/membershipGossip.ts
@@ -12,7 +12,7 @@
 import type { LinkPool, MessageInitShape } from '@laburnumstream/links';
 import { EntryService, ExchangeResponseSchema } from '@laburnumstream/protocol';
 import type { DataCentreAge, ExchangeRequest, ExchangeResponse } from '@laburnumstream/protocol';
-import type { MemberDirectory } from './directory.js';
+import type { MemberDirectory } from './memberDirectory.js';
 
 /** State of the exchange with one peer. */
 interface PeerState {
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -18,7 +18,7 @@
   startRollOut,
 } from './changes.js';
 import type { ConfigurationEditor, ConfigurationHolder } from './configurationEditor.js';
-import type { MemberDirectory } from './directory.js';
+import type { MemberDirectory } from './memberDirectory.js';
 import { getOperator } from './operatorAuthentication.js';
 import { operatorRoute, viewerRoute } from './operatorRoutes.js';
 import type { OperatorCall, Route } from './operatorRoutes.js';
--- a/packages/entry/src/prober.ts
+++ b/packages/entry/src/prober.ts
@@ -2,7 +2,7 @@
 import { createClient } from '@laburnumstream/links';
 import type { LinkPool } from '@laburnumstream/links';
 import { AgentService } from '@laburnumstream/protocol';
-import type { MemberDirectory } from './directory.js';
+import type { MemberDirectory } from './memberDirectory.js';
 
 /** Backoff state of one unreachable agent; times are monotonic, in milliseconds. */
 interface ProbeState {
--- a/packages/entry/src/requestDispatcher.ts
+++ b/packages/entry/src/requestDispatcher.ts
@@ -3,12 +3,12 @@
 import { Recovery, RetryBudget, homeOf, isIn, policyFor } from '@laburnumstream/decisions';
 import type { Configuration } from '@laburnumstream/decisions';
 import type { EntrySettings } from '@laburnumstream/runtime';
-import type { AttemptRunner } from './attempt.js';
+import type { AttemptRunner } from './attemptRunner.js';
 import { usesIdempotencyKey, getWorkUnits } from './callerRequest.js';
 import type { ResponsePart, CallerRequest } from './callerRequest.js';
-import { DispatchState } from './course.js';
+import { DispatchState } from './dispatchState.js';
 import type { CrashGuard } from './crashGuard.js';
-import type { MemberDirectory } from './directory.js';
+import type { MemberDirectory } from './memberDirectory.js';
 import type { Router } from './router.js';
 
 const retryAfterMs = 500;
--- a/packages/entry/src/rollOutGuard.ts
+++ b/packages/entry/src/rollOutGuard.ts
@@ -2,7 +2,7 @@
 import type { Clock, Log } from '@laburnumstream/common';
 import { unfitRelease } from '@laburnumstream/decisions';
 import type { Configuration, UnfitReport } from '@laburnumstream/decisions';
-import type { LiveMember } from './directory.js';
+import type { LiveMember } from './memberDirectory.js';
 import { stopRollOut } from './changes.js';
 import type { ConfigurationEditor } from './configurationEditor.js';
 
--- a/packages/entry/src/rollOutProgress.ts
+++ b/packages/entry/src/rollOutProgress.ts
@@ -1,7 +1,7 @@
 import { NotFound } from '@laburnumstream/common';
 import { timeLeftMs } from '@laburnumstream/decisions';
 import type { Configuration, Release } from '@laburnumstream/decisions';
-import type { LiveMember } from './directory.js';
+import type { LiveMember } from './memberDirectory.js';
 
 /** Progress of a roll-out in one data centre. */
 interface DataCentreProgress {
--- a/packages/entry/src/router.ts
+++ b/packages/entry/src/router.ts
@@ -4,7 +4,7 @@
 import type { Candidate, Configuration, Target } from '@laburnumstream/decisions';
 import type { EndpointLoad } from '@laburnumstream/protocol';
 import type { EntrySettings } from '@laburnumstream/runtime';
-import type { MemberDirectory } from './directory.js';
+import type { MemberDirectory } from './memberDirectory.js';
 
 /** Maximum time for which a routing table is used without checking the membership. */
 const tableMaxAgeMs = 100;
