--- a/features/steps/outage.steps.ts
+++ b/features/steps/outage.steps.ts
@@ -138,7 +138,9 @@
   "its own endpoints stay and the other's are left out until the cut heals",
   function check(this: OutageWorld) {
     const names = (): string[] => {
-      this.outageDirectory.recordHeartbeat(memberOf('near', { service, beat: BigInt(this.outageNow + 1) }));
+      this.outageDirectory.recordHeartbeat(
+        memberOf('near', { service, beat: BigInt(this.outageNow + 1) }),
+      );
       return this.outageDirectory.candidates(service, isOpen).map(({ name }) => name);
     };
     assert.deepEqual(names().sort(), ['far', 'near']);
