--- /dev/null
+++ b/packages/entry/src/partialResponse.ts
@@ -0,0 +1,43 @@
+import { Corrupted } from '@laburnumstream/common';
+import type { PlainAnswer } from '@laburnumstream/common';
+import { AnswerAssembly, callDigest } from '@laburnumstream/decisions';
+import type { End } from '@laburnumstream/protocol';
+import { sha256 } from '@laburnumstream/runtime';
+import type { ResponsePart } from './callerRequest.js';
+
+/** The part of a response received so far, across all attempts. */
+export class PartialResponse {
+  readonly assembly = new AnswerAssembly(sha256);
+
+  private weightsDigest = '';
+
+  private callResponse: PlainAnswer | undefined;
+
+  /** Digest of the weights that generated the tokens so far; empty before the first token. */
+  get weights(): string {
+    return this.weightsDigest;
+  }
+
+  /** Records which weights generate the response. */
+  setWeights(weights: string): void {
+    this.weightsDigest = weights;
+  }
+
+  /** Stores the response of a plain service until the end frame confirms it. */
+  setCallResponse(callResponse: PlainAnswer): void {
+    this.callResponse = callResponse;
+  }
+
+  /** Verifies the digest of the end frame; throws `Corrupted` for an incomplete or altered response. */
+  finish({ count, digest, firstIndex }: End): ResponsePart {
+    const { callResponse, assembly } = this;
+    if (!callResponse) {
+      assembly.finish(count, digest, firstIndex);
+      return { kind: 'end', count, digest: assembly.digest };
+    }
+    if (digest !== callDigest(callResponse.status, callResponse.body, sha256)) {
+      throw new Corrupted('The answer does not match its end mark.');
+    }
+    return { kind: 'end', count, digest };
+  }
+}
