--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -27,7 +27,7 @@
   {
     name: 'refusal in a data centre taken out',
     file: 'packages/agent/dist/runHandler.js',
-    find: 'if (!isIn(this.configuration(), this.settings.dataCentre))',
+    find: 'if (!isDataCentreInService(this.configuration(), this.settings.dataCentre))',
     replace: 'if (false)',
     test: 'Take-out of a data centre: no new work',
   },
--- a/bench/src/weights/holderRun.ts
+++ b/bench/src/weights/holderRun.ts
@@ -1,5 +1,5 @@
 import { SeededRandom } from '@laburnumstream/common';
-import { FetchFault, HolderTransfer, holderDefaults, origin } from '@laburnumstream/decisions';
+import { FetchFault, HolderTransfer, defaultHolderLimits, origin } from '@laburnumstream/decisions';
 import type { ChunkFetch, WeightMember } from '@laburnumstream/decisions';
 import { EventQueue } from './eventQueue.js';
 import { FluidNetwork } from './fluidNetwork.js';
@@ -86,7 +86,7 @@
   constructor(private readonly work: HolderWork) {
     this.random = new SeededRandom(work.seed);
     const originChunkMs = work.chunkBytes / bytesPerMs(work.originRate);
-    const limits = { ...holderDefaults, originChunkMs };
+    const limits = { ...defaultHolderLimits, originChunkMs };
     const rates = new Map<string, number>([['origin', bytesPerMs(work.originRate)]]);
     work.regions.forEach((count, region) => {
       work.regions.forEach((_, other) =>
@@ -96,7 +96,7 @@
         const name = `${region}-${index}`;
         const member = { name, region: String(region), dataCentre: String(region) };
         const transfer = new HolderTransfer(work.chunks, member, this.random, 0, limits);
-        transfer.window = work.window;
+        transfer.maxMemberFetches = work.window;
         const node = {
           member,
           transfer,
@@ -106,7 +106,7 @@
           completeAt: undefined,
         };
         if (index < work.holders[region]!) {
-          for (let chunk = 0; chunk < work.chunks; chunk += 1) transfer.has(chunk);
+          for (let chunk = 0; chunk < work.chunks; chunk += 1) transfer.markHeld(chunk);
         }
         this.nodes.push(node);
         this.byName.set(name, node);
@@ -120,7 +120,7 @@
   run(): HolderOutcome {
     const { nodes, events, work } = this;
     const members = nodes.map(({ member }) => member);
-    nodes.forEach(({ transfer }) => transfer.regroup(members));
+    nodes.forEach(({ transfer }) => transfer.updateMembers(members));
     nodes.forEach((node) => {
       this.gossip(node);
       this.look(node);
@@ -145,7 +145,7 @@
     if (node.isAlive) {
       const near = this.nodes.filter(({ member }) => member.region === node.member.region);
       near.forEach((other) => this.tell(node, other));
-      node.transfer.askedElsewhere().forEach(({ name }) => this.tell(this.byName.get(name)!, node));
+      node.transfer.remoteSources().forEach(({ name }) => this.tell(this.byName.get(name)!, node));
     }
     this.events.after(gossipMs, () => this.gossip(node));
   }
@@ -154,13 +154,13 @@
     if (from === to || !from.isAlive || !to.isAlive) return;
     const held = Uint8Array.from(from.transfer.held);
     this.events.after(latencyMs, () => {
-      to.transfer.learn(from.member.name, held, from.giving, this.events.now);
-      this.begin(to, to.transfer.start(this.events.now));
+      to.transfer.updateHolder(from.member.name, held, from.giving, this.events.now);
+      this.begin(to, to.transfer.startFetches(this.events.now));
     });
   }
 
   private look(node: Node): void {
-    if (node.isAlive) this.begin(node, node.transfer.hedge(this.events.now));
+    if (node.isAlive) this.begin(node, node.transfer.hedgeFetches(this.events.now));
     this.events.after(lookMs, () => this.look(node));
   }
 
@@ -203,8 +203,8 @@
   }
 
   private refused(node: Node, fetch: ChunkFetch): void {
-    node.transfer.failed(fetch, FetchFault.notYet, this.events.now);
-    this.begin(node, node.transfer.start(this.events.now));
+    node.transfer.fetchFailed(fetch, FetchFault.notYet, this.events.now);
+    this.begin(node, node.transfer.startFetches(this.events.now));
   }
 
   private give(giver: Node, node: Node, fetch: ChunkFetch): void {
@@ -220,15 +220,15 @@
 
   private arrived(node: Node, fetch: ChunkFetch): void {
     const { now } = this.events;
-    node.transfer.succeeded(fetch, now);
+    node.transfer.fetchSucceeded(fetch, now);
     if (fetch.source === origin && !this.left.has(fetch.chunk)) {
       this.left.add(fetch.chunk);
       this.leftOriginAt = now;
     }
     if (node.transfer.isComplete) Object.assign(node, { completeAt: node.completeAt ?? now });
     node.transfer
-      .waitingElsewhere(fetch.chunk)
+      .remoteReceivers(fetch.chunk)
       .forEach(({ name }) => this.tell(node, this.byName.get(name)!));
-    this.begin(node, node.transfer.start(now));
+    this.begin(node, node.transfer.startFetches(now));
   }
 }
--- a/bench/src/weights/virtualTransfer.ts
+++ b/bench/src/weights/virtualTransfer.ts
@@ -210,11 +210,11 @@
   }
 
   private begin(each: VirtualMember): void {
-    this.launch(each, each.transfer.start(this.events.now));
+    this.launch(each, each.transfer.startFetches(this.events.now));
     const check = (): void => {
       if (!each.isAlive || each.transfer.isComplete) return;
-      this.launch(each, each.transfer.hedge(this.events.now));
-      this.launch(each, each.transfer.start(this.events.now));
+      this.launch(each, each.transfer.hedgeFetches(this.events.now));
+      this.launch(each, each.transfer.startFetches(this.events.now));
       this.events.after(hedgeMs, check);
     };
     this.events.after(hedgeMs, check);
@@ -260,8 +260,8 @@
     if (!isOpen || !holder.isAlive) return;
     Object.assign(waiter, { isOpen: false });
     if (!by.isAlive || by.transfer.isComplete) return;
-    by.transfer.failed(fetch, FetchFault.notYet, this.events.now);
-    this.launch(by, by.transfer.start(this.events.now));
+    by.transfer.fetchFailed(fetch, FetchFault.notYet, this.events.now);
+    this.launch(by, by.transfer.startFetches(this.events.now));
   }
 
   private arrive(by: VirtualMember, fetch: ChunkFetch, fromRegion: string): void {
@@ -277,9 +277,9 @@
     const { now } = this.events;
     if (this.random.next() < this.work.corrupt) {
       this.corrupt += 1;
-      by.transfer.failed(fetch, FetchFault.corrupt, now);
+      by.transfer.fetchFailed(fetch, FetchFault.corrupt, now);
     } else {
-      by.transfer.succeeded(fetch, now).forEach((other) => {
+      by.transfer.fetchSucceeded(fetch, now).forEach((other) => {
         const waiter = this.open.get(other);
         if (waiter) waiter.isOpen = false;
       });
@@ -288,7 +288,7 @@
     if (by.transfer.isComplete) {
       this.missing -= 1;
       this.finishedAt = now;
-    } else this.launch(by, by.transfer.start(now));
+    } else this.launch(by, by.transfer.startFetches(now));
   }
 
   private hold(by: VirtualMember, chunk: number): void {
--- a/features/steps/configuration.steps.ts
+++ b/features/steps/configuration.steps.ts
@@ -4,11 +4,11 @@
 import {
   checkPermission,
   configurationKey,
-  effectsOf,
+  computeEffects,
   maxDocumentBytes,
   parseConfiguration,
 } from '@laburnumstream/decisions';
-import type { Change, Effect } from '@laburnumstream/decisions';
+import type { Change, PolicyEffect } from '@laburnumstream/decisions';
 import { addException, applyChange } from '@laburnumstream/entry';
 import { CallFault } from '@laburnumstream/standins';
 import { tell } from '../support/changeHistory.js';
@@ -27,7 +27,7 @@
   changeTold: Told[];
   changeFailure: Failure;
   changeMs: number;
-  effects: Effect[];
+  effects: PolicyEffect[];
 }
 
 /** A change by an author that patches parts of the document. */
@@ -255,11 +255,11 @@
 When('an operator limited to one service changes two', async function go(this: ConfigurationWorld) {
   const limited = { role: 'operator', tokenHashes: [hash], services: ['desk'] } as const;
   await this.editing.apply(patchBy('ann', { operators: { ben: limited } }, 'limit'));
-  const permit: Change['permit'] = (before, changes) =>
+  const permit: Change['authorize'] = (before, changes) =>
     checkPermission(before, before.operators.ben!, changes);
   const change = (service: string): Change => {
     const services = { [service]: { ...plain, nonIdempotentPaths: ['/orders'] } };
-    return { ...patchBy('ben', { services }, service), permit };
+    return { ...patchBy('ben', { services }, service), authorize: permit };
   };
   this.changeTold = [
     await tell('desk', this.editing.apply(change('desk'))),
@@ -300,7 +300,7 @@
     { instance: 'other-1', dataCentre: 'north-a', service: 'other' },
   ];
   const { before, after } = await this.editing.preview(addException(by, fields));
-  this.effects = effectsOf(before, after, places, 1);
+  this.effects = computeEffects(before, after, places, 1);
 });
 
 Then('it tells what changes for whom and writes nothing', function check(this: ConfigurationWorld) {
--- a/features/steps/weightTransfer.steps.ts
+++ b/features/steps/weightTransfer.steps.ts
@@ -7,7 +7,7 @@
   Topology,
   Transfer,
   origin,
-  slotPollMs,
+  slotPollIntervalMs,
   sourceName,
   sourceOrders,
 } from '@laburnumstream/decisions';
@@ -48,19 +48,19 @@
   'a weight transfer of one chunk beside {int} other members',
   function prepare(this: WeightTransferWorld, others: number) {
     const topology = new Topology(digest, membersOf(others + 1), region);
-    const last = topology.at(0, others, 0)!;
+    const last = topology.memberAt(0, others, 0)!;
     this.weightTransfer = new Transfer(1, last, topology, sourceOrders.trees);
-    [this.firstFetch] = this.weightTransfer.start(0) as [ChunkFetch];
+    [this.firstFetch] = this.weightTransfer.startFetches(0) as [ChunkFetch];
   },
 );
 
 When(
   'the first two sources stay silent past the deadline',
   function hedge(this: WeightTransferWorld) {
-    const second = this.weightTransfer.hedge(pastDeadlineMs);
+    const second = this.weightTransfer.hedgeFetches(pastDeadlineMs);
     assert.equal(second.length, 1);
     this.weightFetches = [this.firstFetch, ...second];
-    this.weightFetches.push(...this.weightTransfer.hedge(2 * pastDeadlineMs));
+    this.weightFetches.push(...this.weightTransfer.hedgeFetches(2 * pastDeadlineMs));
   },
 );
 
@@ -69,8 +69,8 @@
 });
 
 When('the first source sends a corrupt chunk', function corrupt(this: WeightTransferWorld) {
-  this.weightTransfer.failed(this.firstFetch, FetchFault.corrupt, 1);
-  this.weightFetches = this.weightTransfer.start(1);
+  this.weightTransfer.fetchFailed(this.firstFetch, FetchFault.corrupt, 1);
+  this.weightFetches = this.weightTransfer.startFetches(1);
 });
 
 Then('another source is asked for it', function check(this: WeightTransferWorld) {
@@ -81,8 +81,8 @@
 When(
   'the first source answers that it does not hold the chunk yet',
   function wait(this: WeightTransferWorld) {
-    this.weightTransfer.failed(this.firstFetch, FetchFault.notYet, 1);
-    this.weightFetches = this.weightTransfer.start(1);
+    this.weightTransfer.fetchFailed(this.firstFetch, FetchFault.notYet, 1);
+    this.weightFetches = this.weightTransfer.startFetches(1);
   },
 );
 
@@ -128,8 +128,8 @@
     for (let second = 1; second <= seconds; second += 1) {
       const now = second * secondMs;
       const latest = this.weightFetches[this.weightFetches.length - 1]!;
-      this.weightTransfer.failed(latest, FetchFault.notYet, now);
-      this.weightFetches.push(...this.weightTransfer.start(now));
+      this.weightTransfer.fetchFailed(latest, FetchFault.notYet, now);
+      this.weightFetches.push(...this.weightTransfer.startFetches(now));
     }
   },
 );
@@ -256,7 +256,7 @@
 Then(
   '{int} endpoints that wait cost the store at most {int} polls a second',
   (endpoints: number, most: number) => {
-    assert.ok((endpoints * secondMs) / slotPollMs(endpoints) <= most);
-    assert.equal(slotPollMs(1), 200);
+    assert.ok((endpoints * secondMs) / slotPollIntervalMs(endpoints) <= most);
+    assert.equal(slotPollIntervalMs(1), 200);
   },
 );
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,6 +1,11 @@
 import { InstanceRole, InstanceState, optionDefaults } from '@laburnumstream/common';
 import type { Instance, LoadReport, Log } from '@laburnumstream/common';
-import { isIn, policyDefaults, policyFor, sendingPriority } from '@laburnumstream/decisions';
+import {
+  isDataCentreInService,
+  policyDefaults,
+  policyFor,
+  sendingPriority,
+} from '@laburnumstream/decisions';
 import type { Configuration, Policy, Scope } from '@laburnumstream/decisions';
 import { LinkPool, Secrets, serveInternal, serveSession } from '@laburnumstream/links';
 import type { InternalServer } from '@laburnumstream/links';
@@ -220,7 +225,7 @@
   }
 
   private applyConfiguration(configuration: Configuration): void {
-    const isOut = !isIn(configuration, this.settings.dataCentre);
+    const isOut = !isDataCentreInService(configuration, this.settings.dataCentre);
     // While it was out, its caches went cold.
     if (this.wasOut && !isOut) this.gate.turnCold('return');
     this.wasOut = isOut;
--- a/packages/agent/src/runHandler.ts
+++ b/packages/agent/src/runHandler.ts
@@ -8,7 +8,7 @@
   toFailure,
 } from '@laburnumstream/common';
 import type { Clock, Log, Metrics } from '@laburnumstream/common';
-import { callUnits, generationUnits, isIn } from '@laburnumstream/decisions';
+import { callUnits, generationUnits, isDataCentreInService } from '@laburnumstream/decisions';
 import type { Configuration } from '@laburnumstream/decisions';
 import { create, toRefusal } from '@laburnumstream/links';
 import { EndpointLoadSchema, RunFrameSchema } from '@laburnumstream/protocol';
@@ -130,7 +130,7 @@
   /** Also holds right before a request starts: it may have waited, or the process stood still. */
   private checkStanding(): void {
     if (!this.isSettled()) throw new Unavailable('The agent has just stood still.', retryAfterMs);
-    if (!isIn(this.configuration(), this.settings.dataCentre)) {
+    if (!isDataCentreInService(this.configuration(), this.settings.dataCentre)) {
       throw new Unavailable('The data centre is taken out.', retryAfterMs);
     }
   }
--- a/packages/agent/src/weightFetcher.ts
+++ b/packages/agent/src/weightFetcher.ts
@@ -10,7 +10,7 @@
   origin,
   sourceName,
   sourceOrders,
-  transferDefaults,
+  defaultTransferLimits,
 } from '@laburnumstream/decisions';
 import type {
   ChunkFetch,
@@ -106,17 +106,17 @@
 
   private async fetchChunks(version: HeldVersion, signal: AbortSignal): Promise<void> {
     const { digest, manifest } = version;
-    const { peers, order = sourceOrders.trees, limits = transferDefaults } = this.routes;
+    const { peers, order = sourceOrders.trees, limits = defaultTransferLimits } = this.routes;
     let topology: Topology = peers.topology(digest);
     const transfer = new Transfer(manifest.chunks.length, peers.self, topology, order, limits);
-    version.chunks.forEach((chunk, index) => chunk && transfer.has(index));
+    version.chunks.forEach((chunk, index) => chunk && transfer.markHeld(index));
     const ended = new AbortController();
     const limit = AbortSignal.any([signal, ended.signal]);
     const running = new Map<ChunkFetch, AbortController>();
     const launch = (fetches: readonly ChunkFetch[]): void =>
       fetches.forEach((fetch) => {
         const onward = (): void => {
-          if (!limit.aborted) launch(transfer.start(this.clock.now()));
+          if (!limit.aborted) launch(transfer.startFetches(this.clock.now()));
         };
         const useless = new AbortController();
         running.set(fetch, useless);
@@ -128,13 +128,13 @@
         });
       });
     try {
-      launch(transfer.start(this.clock.now()));
+      launch(transfer.startFetches(this.clock.now()));
       while (!transfer.isComplete) {
         await this.clock.sleep(checkMs, signal);
         const latest = peers.topology(digest);
-        if (latest !== topology) transfer.regroup(latest);
+        if (latest !== topology) transfer.updateTopology(latest);
         topology = latest;
-        launch(transfer.hedge(this.clock.now()));
+        launch(transfer.hedgeFetches(this.clock.now()));
       }
     } finally {
       ended.abort();
@@ -155,7 +155,7 @@
         throw new Corrupted(`Chunk ${chunk} does not match its digest.`);
       }
       this.store.put(version.digest, chunk, bytes);
-      const superseded = transfer.succeeded(fetch, this.clock.now());
+      const superseded = transfer.fetchSucceeded(fetch, this.clock.now());
       this.metrics.count(
         source === origin ? 'weight_chunks_from_origin' : 'weight_chunks_from_peers',
       );
@@ -171,7 +171,7 @@
         this.log.warn('Corrupt chunk.', { chunk, source: sourceName(source) });
       }
       if (source === origin) await this.clock.sleep(checkMs, signal).catch(() => undefined);
-      transfer.failed(fetch, fault, this.clock.now());
+      transfer.fetchFailed(fetch, fault, this.clock.now());
       return [];
     }
   }
--- a/packages/agent/src/weightKeeper.ts
+++ b/packages/agent/src/weightKeeper.ts
@@ -1,8 +1,8 @@
 import { OrderRefused, StaleOrder, toFailure } from '@laburnumstream/common';
 import type { AgentSettings } from '@laburnumstream/runtime';
 import type { Chart, Clock, Log, Metrics, ModelEngine } from '@laburnumstream/common';
-import { policyFor, slotPollMs, switchDelayMs, unfitReason } from '@laburnumstream/decisions';
-import type { Configuration, SwitchRecord } from '@laburnumstream/decisions';
+import { policyFor, slotPollIntervalMs, slotDelayMs, unfitReason } from '@laburnumstream/decisions';
+import type { Configuration, VersionFailures } from '@laburnumstream/decisions';
 import { Lifecycle } from '@laburnumstream/runtime';
 import type { Slot, Slots } from './slots.js';
 import type { WeightFetcher } from './weightFetcher.js';
@@ -23,7 +23,7 @@
 export type SpareLoad = () => { readonly inFlight: number; readonly limit: number };
 
 const nothing: Served = { weights: '', adapters: [] };
-const noRecord: SwitchRecord = { digest: '', failedLoads: 0, losses: 0 };
+const noRecord: VersionFailures = { digest: '', failedLoads: 0, losses: 0 };
 
 /** Brings the endpoint to the versions that the configuration names. */
 export class WeightKeeper {
@@ -184,13 +184,13 @@
   private async awaitSlot(signal: AbortSignal): Promise<WeightEvent> {
     const { service, dataCentre, instance } = this.settings;
     const { inFlight, limit } = this.spareLoad();
-    await this.clock.sleep(switchDelayMs(inFlight, limit), signal);
+    await this.clock.sleep(slotDelayMs(inFlight, limit), signal);
     while (this.isWanted(this.wanted)) {
       const place = { service, dataCentre, instance };
       const { switchSlots } = policyFor(this.configuration(), place, this.clock.wall());
       this.slot = await this.slots.take(`${service}/${dataCentre}`, switchSlots, signal);
       if (this.slot) return 'SLOT';
-      await this.clock.sleep(slotPollMs(this.neighbours()), signal);
+      await this.clock.sleep(slotPollIntervalMs(this.neighbours()), signal);
     }
     return 'CHANGED';
   }
--- a/packages/agent/src/weightPeers.ts
+++ b/packages/agent/src/weightPeers.ts
@@ -1,11 +1,11 @@
 import { NotFound, Unavailable } from '@laburnumstream/common';
 import type { Instance, Manifest } from '@laburnumstream/common';
-import { Topology, transferDefaults } from '@laburnumstream/decisions';
+import { Topology, defaultTransferLimits } from '@laburnumstream/decisions';
 import { HttpClient } from '@laburnumstream/clients';
 
 /** Time for which a peer may wait for something that it does not hold yet, in milliseconds. */
 const waitMs = 1_000;
-const timeoutMs = transferDefaults.maxDeadlineMs;
+const timeoutMs = defaultTransferLimits.maxTimeoutMs;
 const retryAfterMs = 50;
 /** Connections to one peer. */
 const connections = 32;
--- a/packages/decisions/src/configuration/differences.ts
+++ b/packages/decisions/src/configuration/differences.ts
@@ -3,7 +3,7 @@
 
 type Items = Readonly<Record<string, unknown>>;
 
-/** The parts of the document that hold operators' items. */
+/** The parts of the document that operators edit. */
 const parts = [
   'defaults',
   'exceptions',
@@ -14,21 +14,21 @@
   'operators',
 ] as const;
 
-/** Path of a change whose items are too many to be listed. */
-export const everything = '*';
+/** Path that stands for all items, used when a change has too many to list. */
+export const allItemsPath = '*';
 
-/** The items of one part by name. */
-function itemsOf(configuration: Configuration, part: (typeof parts)[number]): Items {
+/** The items of one part of the document by name. */
+function getItems(configuration: Configuration, part: (typeof parts)[number]): Items {
   if (part !== 'exceptions') return configuration[part] as unknown as Items;
   return Object.fromEntries(configuration.exceptions.map((item) => [item.id, item]));
 }
 
-/** The order of exceptions decides which wins, so the order is an item, too. */
-function orderOf({ exceptions }: Configuration): string {
+/** The order of exceptions, which determines their precedence and so is compared as an item. */
+function formatExceptionOrder({ exceptions }: Configuration): string {
   return exceptions.map(({ id }) => id).join(' ');
 }
 
-function changesOfPart(from: Items, to: Items, part: string): ItemChange[] {
+function diffPart(from: Items, to: Items, part: string): ItemChange[] {
   const names = [...new Set([...Object.keys(from), ...Object.keys(to)])];
   return names
     .filter((name) => JSON.stringify(from[name]) !== JSON.stringify(to[name]))
@@ -39,44 +39,47 @@
     }));
 }
 
-/** The items in which two documents differ. */
-export function differences(from: Configuration, to: Configuration): ItemChange[] {
-  const changes = parts.flatMap((part) =>
-    changesOfPart(itemsOf(from, part), itemsOf(to, part), part),
-  );
-  const kept = new Set(from.exceptions.map(({ id }) => id));
-  const before = orderOf({
+/** The items that differ between two documents. */
+export function diffConfigurations(from: Configuration, to: Configuration): ItemChange[] {
+  const changes = parts.flatMap((part) => diffPart(getItems(from, part), getItems(to, part), part));
+  const idsBefore = new Set(from.exceptions.map(({ id }) => id));
+  const orderBefore = formatExceptionOrder({
     ...from,
     exceptions: from.exceptions.filter(({ id }) => to.exceptions.some((item) => item.id === id)),
   });
-  const after = orderOf({ ...to, exceptions: to.exceptions.filter(({ id }) => kept.has(id)) });
-  if (before === after) return changes;
-  return [...changes, { path: 'exceptions', from: before, to: after }];
+  const orderAfter = formatExceptionOrder({
+    ...to,
+    exceptions: to.exceptions.filter(({ id }) => idsBefore.has(id)),
+  });
+  if (orderBefore === orderAfter) return changes;
+  return [...changes, { path: 'exceptions', from: orderBefore, to: orderAfter }];
 }
 
-/** Whether a change of one path can affect the other. */
-function overlap(a: string, b: string): boolean {
-  if (a === everything || b === everything) return true;
+/** Whether two paths are equal or one contains the other. */
+function pathsOverlap(a: string, b: string): boolean {
+  if (a === allItemsPath || b === allItemsPath) return true;
   return a === b || a.startsWith(`${b}/`) || b.startsWith(`${a}/`);
 }
 
-/** The paths that both lists of changes touch. */
-export function sharedPaths(a: readonly ItemChange[], b: readonly ItemChange[]): string[] {
-  return a.map(({ path }) => path).filter((path) => b.some((other) => overlap(path, other.path)));
+/** The paths of the first list that overlap with any path of the second. */
+export function overlappingPaths(a: readonly ItemChange[], b: readonly ItemChange[]): string[] {
+  return a
+    .map(({ path }) => path)
+    .filter((path) => b.some((other) => pathsOverlap(path, other.path)));
 }
 
-function withoutHashes(value: unknown): unknown {
+function redactTokenHashes(value: unknown): unknown {
   if (typeof value !== 'object' || value === null) return value;
   const { tokenHashes, ...rest } = value as { readonly tokenHashes?: readonly string[] };
   if (!tokenHashes) return value;
   return { ...rest, tokens: tokenHashes.map((hash) => hash64(hash).slice(0, 8)) };
 }
 
-/** The changes with each token's hash replaced by a short mark that tells tokens apart. */
-export function redacted(changes: readonly ItemChange[]): ItemChange[] {
+/** Replaces each token hash by a short fingerprint that still distinguishes tokens. */
+export function redactTokens(changes: readonly ItemChange[]): ItemChange[] {
   return changes.map(({ path, ...values }) => ({
     path,
-    ...('from' in values ? { from: withoutHashes(values.from) } : {}),
-    ...('to' in values ? { to: withoutHashes(values.to) } : {}),
+    ...('from' in values ? { from: redactTokenHashes(values.from) } : {}),
+    ...('to' in values ? { to: redactTokenHashes(values.to) } : {}),
   }));
 }
--- a/packages/decisions/src/configuration/document.ts
+++ b/packages/decisions/src/configuration/document.ts
@@ -2,7 +2,7 @@
 import { emptyConfiguration, policyDefaults } from './model.js';
 import type { Configuration } from './model.js';
 
-function shapeOf(value: unknown): string {
+function getJsonType(value: unknown): string {
   if (value === null) return 'null';
   return Array.isArray(value) ? 'array' : typeof value;
 }
@@ -16,19 +16,20 @@
 }
 
 /**
- * Parses the stored document; parts that it lacks get their defaults, and parts that only a later
- * version knows are kept. Throws `InvalidInput` when a known part has the wrong shape.
+ * Parses the stored document. Missing parts get their defaults, and unknown parts written by a
+ * later version are kept. Throws `InvalidInput` when a known part has the wrong JSON type.
  */
 export function parseConfiguration(text: string): Configuration {
   const stored = parseJson(text);
-  if (shapeOf(stored) !== 'object') {
+  if (getJsonType(stored) !== 'object') {
     throw new InvalidInput('The stored configuration is not a JSON object.');
   }
   const configuration = { ...emptyConfiguration, ...stored };
   const parts = Object.keys(emptyConfiguration) as (keyof Configuration)[];
-  const wrong = parts.find(
-    (part) => shapeOf(configuration[part]) !== shapeOf(emptyConfiguration[part]),
+  const mistyped = parts.find(
+    (part) => getJsonType(configuration[part]) !== getJsonType(emptyConfiguration[part]),
   );
-  if (wrong) throw new InvalidInput(`The part ${wrong} of the stored configuration is damaged.`);
+  if (mistyped)
+    throw new InvalidInput(`The part ${mistyped} of the stored configuration is damaged.`);
   return { ...configuration, defaults: { ...policyDefaults, ...configuration.defaults } };
 }
--- a/packages/decisions/src/configuration/effects.ts
+++ b/packages/decisions/src/configuration/effects.ts
@@ -7,49 +7,53 @@
   readonly to: number;
 }
 
-/** How a change alters the policy in force for a group of instances. */
-export interface Effect {
+/** Differences in the effective policy of a group of instances. */
+export interface PolicyEffect {
   readonly policy: Readonly<Partial<Record<keyof Policy, ValueChange>>>;
-  /** Set when the effect is limited to one workspace. */
+  /** Set when the differences apply to one workspace only. */
   readonly workspace?: string;
   readonly instances: readonly string[];
 }
 
-/** Where an instance stands. */
-export interface InstancePlace {
+/** The location of an instance, as matched by scopes. */
+export interface InstanceLocation {
   readonly instance: string;
   readonly dataCentre: string;
   readonly service: string;
 }
 
-function changedValues(from: Policy, to: Policy): Effect['policy'] {
+function diffPolicies(from: Policy, to: Policy): PolicyEffect['policy'] {
   const names = Object.keys(to) as (keyof Policy)[];
   const changed = names.filter((name) => from[name] !== to[name]);
   return Object.fromEntries(changed.map((name) => [name, { from: from[name], to: to[name] }]));
 }
 
-function workspacesOf({ exceptions }: Configuration): string[] {
+function getScopedWorkspaces({ exceptions }: Configuration): string[] {
   return exceptions.flatMap(({ scope }) => scope.workspace ?? []);
 }
 
-/** What a change alters for whom: the policy values that differ, by groups of instances. */
-export function effectsOf(
+/** The differences in effective policy between two documents, grouped by equal differences. */
+export function computeEffects(
   before: Configuration,
   after: Configuration,
-  places: readonly InstancePlace[],
+  locations: readonly InstanceLocation[],
   wallMs: number,
-): Effect[] {
-  const workspaces = new Set([undefined, ...workspacesOf(before), ...workspacesOf(after)]);
-  const groups = new Map<string, Effect>();
+): PolicyEffect[] {
+  const workspaces = new Set([
+    undefined,
+    ...getScopedWorkspaces(before),
+    ...getScopedWorkspaces(after),
+  ]);
+  const groups = new Map<string, PolicyEffect>();
   [...workspaces].forEach((workspace) => {
-    places.forEach((place) => {
-      const scope: Scope = { ...place, ...(workspace === undefined ? {} : { workspace }) };
+    locations.forEach((location) => {
+      const scope: Scope = { ...location, ...(workspace === undefined ? {} : { workspace }) };
       const [from, to] = [policyFor(before, scope, wallMs), policyFor(after, scope, wallMs)];
-      const policy = changedValues(from, to);
+      const policy = diffPolicies(from, to);
       if (Object.keys(policy).length === 0) return;
       const key = JSON.stringify([workspace, policy]);
       const { instances } = groups.get(key) ?? { instances: [] };
-      const group = { policy, instances: [...instances, place.instance] };
+      const group = { policy, instances: [...instances, location.instance] };
       groups.set(key, workspace === undefined ? group : { ...group, workspace });
     });
   });
--- a/packages/decisions/src/configuration/mergePatch.ts
+++ b/packages/decisions/src/configuration/mergePatch.ts
@@ -1,7 +1,6 @@
-/** A JSON object whose keys are not known. */
 type JsonObject = Readonly<Record<string, unknown>>;
 
-/** Keys that would reach an object's prototype. */
+/** Keys that could pollute an object's prototype. */
 const unsafeKeys = ['__proto__', 'constructor', 'prototype'];
 
 function isObject(value: unknown): value is JsonObject {
--- a/packages/decisions/src/configuration/model.ts
+++ b/packages/decisions/src/configuration/model.ts
@@ -1,40 +1,40 @@
-/** Whether a data centre takes part in serving. */
+/** Whether a data centre is in service. */
 export const DataCentreState = { in: 'in', out: 'out' } as const;
 
 /** One of the values of {@link DataCentreState}. */
 export type DataCentreState = (typeof DataCentreState)[keyof typeof DataCentreState];
 
-/** The kinds of services behind the entries. */
+/** Kinds of services. */
 export const ServiceKind = { model: 'model', plain: 'plain' } as const;
 
 /** One of the values of {@link ServiceKind}. */
 export type ServiceKind = (typeof ServiceKind)[keyof typeof ServiceKind];
 
-/** What operators may do. */
+/** Roles of operators: viewers only read, operators may also change the configuration. */
 export const OperatorRole = { viewer: 'viewer', operator: 'operator' } as const;
 
 /** One of the values of {@link OperatorRole}. */
 export type OperatorRole = (typeof OperatorRole)[keyof typeof OperatorRole];
 
-/** Policy that operators steer; exceptions override single values. */
+/** Policy set by operators; exceptions override individual values. */
 export interface Policy {
-  /** Relative share of capacity of a workspace; no unit. */
+  /** Relative share of capacity of a workspace, dimensionless. */
   readonly weight: number;
-  /** Work units that an endpoint bears just after a cold start. */
+  /** Work units that an endpoint can handle right after a cold start. */
   readonly coldLimit: number;
-  /** Most work units admitted to one endpoint. */
+  /** Maximum number of work units admitted to one endpoint. */
   readonly maxLimit: number;
-  /** Longest queue of waiting requests at an agent. */
+  /** Maximum number of requests in an agent's queue. */
   readonly maxQueue: number;
-  /** Longest wait in an agent's queue, in milliseconds. */
+  /** Maximum time that a request waits in an agent's queue, in milliseconds. */
   readonly maxQueueMs: number;
-  /** Tries of a request that may be repeated. */
+  /** Maximum number of attempts of a retryable request. */
   readonly maxAttempts: number;
   /** Endpoints of a service in one data centre that may switch versions at once. */
   readonly switchSlots: number;
 }
 
-/** Where an exception applies; absent fields match everything. */
+/** Where an exception applies; an absent field matches everything. */
 export interface Scope {
   readonly dataCentre?: string;
   readonly service?: string;
@@ -42,7 +42,7 @@
   readonly instance?: string;
 }
 
-/** A deviation from the defaults with its written reason. */
+/** An override of default policy values, with the reason for it. */
 export interface PolicyException {
   readonly id: string;
   readonly scope: Scope;
@@ -59,9 +59,9 @@
   readonly kind: ServiceKind;
   /** The model that a model service serves. */
   readonly model?: string;
-  /** Adapters that are loaded beside the model. */
+  /** Adapters that are loaded in addition to the model. */
   readonly adapters?: readonly string[];
-  /** Path prefixes of calls that may run at most once. */
+  /** Path prefixes of calls that are not idempotent and so run at most once. */
   readonly nonIdempotentPaths?: readonly string[];
 }
 
@@ -69,27 +69,27 @@
 export interface Release {
   readonly version: string;
   readonly digest: string;
-  /** The version before; the roll-out returns to it when the new one fails. */
+  /** The previous version, to which the roll-out is rolled back when the new one fails. */
   readonly previous?: { readonly version: string; readonly digest: string };
   readonly startedAt: number;
-  /** Set when the roll-out was stopped, with the reason. */
+  /** The reason why the roll-out was stopped; absent if it was not. */
   readonly stopped?: string;
 }
 
-/** A customer and the hashes of its tokens. */
+/** A customer, authenticated by tokens. */
 export interface Workspace {
   /** SHA-256 of each valid token, in hex. */
   readonly tokenHashes: readonly string[];
 }
 
-/** An operator, the hashes of its tokens and what it may change. */
+/** An operator, authenticated by tokens, with its permissions. */
 export interface Operator {
   readonly role: OperatorRole;
   /** SHA-256 of each valid token, in hex. */
   readonly tokenHashes: readonly string[];
-  /** The only services that the operator may change; absent means no limit. */
+  /** The only services that the operator may change; absent for no restriction. */
   readonly services?: readonly string[];
-  /** The only workspaces that the operator may change; absent means no limit. */
+  /** The only workspaces that the operator may change; absent for no restriction. */
   readonly workspaces?: readonly string[];
 }
 
@@ -102,7 +102,10 @@
 
 /** One changed item of the document. */
 export interface ItemChange {
-  /** The part and, but for the defaults' values, the item's name: `services/assistant`. */
+  /**
+   * The part of the document and the item's name, such as `services/assistant` or `defaults/weight`;
+   * `exceptions` for their order and `*` for omitted items.
+   */
   readonly path: string;
   readonly from?: unknown;
   readonly to?: unknown;
@@ -120,11 +123,11 @@
   readonly changes: readonly ItemChange[];
 }
 
-/** The operators' document: everything that all processes have to agree on. */
+/** The document that operators edit: all settings that the processes must agree on. */
 export interface Configuration {
-  /** Grows by one with each accepted change. */
+  /** Incremented by each accepted change. */
   readonly revision: number;
-  /** Id of the change that made this revision. */
+  /** Id of the change that produced this revision. */
   readonly changeId: string;
   readonly defaults: Policy;
   readonly exceptions: readonly PolicyException[];
@@ -133,16 +136,16 @@
   readonly releases: Readonly<Record<string, Release>>;
   readonly workspaces: Readonly<Record<string, Workspace>>;
   readonly operators: Readonly<Record<string, Operator>>;
-  /** The latest records of the audit trail; older ones stand on pages under keys of their own. */
+  /** The latest records of the audit trail; older ones are stored as pages under separate keys. */
   readonly audit: readonly AuditRecord[];
-  /** Key of the newest page; empty when there is none. */
+  /** Key of the latest page; empty when there is none. */
   readonly auditPage: string;
 }
 
 /** Key of the document in the platform's key-value service. */
 export const configurationKey = 'laburnumstream/configuration';
 
-/** The policy in force where no operator has set one. */
+/** The policy that applies where no operator has set one. */
 export const policyDefaults: Policy = {
   weight: 1,
   coldLimit: 2,
--- a/packages/decisions/src/configuration/schema.ts
+++ b/packages/decisions/src/configuration/schema.ts
@@ -3,23 +3,23 @@
 import { DataCentreState, OperatorRole, ServiceKind, policyDefaults } from './model.js';
 import type { Configuration, Policy } from './model.js';
 
-/** Largest document that is written, in bytes; the store takes a megabyte. */
+/** Maximum size of a written document, in bytes; the store accepts a megabyte. */
 export const maxDocumentBytes = 917_504;
 
-const longestText = 2_000;
-const mostItems = 20_000;
+const maxTextLength = 2_000;
+const maxItems = 20_000;
 
 const name = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$/, {
   error: 'expected a name of letters, digits, ".", "_" and "-"',
 });
 const reason = z
   .string()
-  .max(longestText)
+  .max(maxTextLength)
   .refine((text) => text.trim() !== '', { error: 'expected a written reason' });
 const digest = z.string().regex(/^[0-9a-f]{64}$/, { error: 'expected a SHA-256 in hex' });
 const wallMs = z.number().int().nonnegative();
 const hashes = z.array(digest).min(1).max(10);
-const names = z.array(name).max(mostItems);
+const names = z.array(name).max(maxItems);
 
 const policyNames = Object.keys(policyDefaults) as (keyof Policy)[];
 const positive = z.number().positive().finite();
@@ -51,7 +51,7 @@
 
 const dataCentre = z.strictObject({
   state: z.enum(DataCentreState),
-  reason: z.string().max(longestText),
+  reason: z.string().max(maxTextLength),
   since: wallMs,
 });
 
@@ -59,10 +59,10 @@
   kind: z.enum(ServiceKind),
   model: name.optional(),
   adapters: names.optional(),
-  nonIdempotentPaths: z.array(z.string().startsWith('/')).max(mostItems).optional(),
+  nonIdempotentPaths: z.array(z.string().startsWith('/')).max(maxItems).optional(),
 });
 
-/** Roll-outs are written by the product only, so further fields are left to it. */
+/** Only the product writes releases, so their other fields are not checked. */
 const release = z.looseObject({
   version: z.string().min(1),
   digest: z.string().min(1),
@@ -82,7 +82,7 @@
   revision: z.number().int().nonnegative(),
   changeId: z.string(),
   defaults,
-  exceptions: z.array(exception).max(mostItems),
+  exceptions: z.array(exception).max(maxItems),
   dataCentres: z.record(name, dataCentre),
   services: z.record(name, service),
   releases: z.record(name, release),
@@ -92,33 +92,33 @@
   auditPage: z.string(),
 });
 
-function describe({ path, message }: z.core.$ZodIssue): string {
+function formatIssue({ path, message }: z.core.$ZodIssue): string {
   return `${path.map(String).join('.') || '(document)'}: ${message}`;
 }
 
-/** Limits that hold between parts of the document. */
-function faultsBetweenParts(document: Configuration): string[] {
+/** Validates constraints between different parts of the document. */
+function findCrossPartErrors(document: Configuration): string[] {
   const { defaults: policy, exceptions } = document;
   const ids = exceptions.map(({ id }) => id);
-  const doubled = ids.filter((id, index) => ids.indexOf(id) !== index);
-  const faults = doubled.map((id) => `exceptions: expected one exception with the id ${id}`);
+  const duplicates = ids.filter((id, index) => ids.indexOf(id) !== index);
+  const errors = duplicates.map((id) => `exceptions: expected one exception with the id ${id}`);
   if (policy.coldLimit > policy.maxLimit) {
-    faults.push('defaults.coldLimit: expected at most defaults.maxLimit');
+    errors.push('defaults.coldLimit: expected at most defaults.maxLimit');
   }
-  return faults;
+  return errors;
 }
 
-/** Checks a document whole; throws `InvalidInput` naming each path and what was expected. */
+/** Validates a document; throws `InvalidInput` with the path and expectation of each error. */
 export function checkConfiguration(document: Configuration): void {
   const result = configuration.safeParse(document);
-  const faults = result.success
-    ? faultsBetweenParts(document)
-    : result.error.issues.map((issue) => describe(issue));
-  if (faults.length > 0) throw new InvalidInput(faults.join('; '));
+  const errors = result.success
+    ? findCrossPartErrors(document)
+    : result.error.issues.map((issue) => formatIssue(issue));
+  if (errors.length > 0) throw new InvalidInput(errors.join('; '));
 }
 
-/** Checks the size of a document before the store's limit can refuse it; throws `TooLarge`. */
-export function checkSize(text: string): void {
+/** Throws `TooLarge` for a document that the store could refuse because of its size. */
+export function checkDocumentSize(text: string): void {
   const { length } = new TextEncoder().encode(text);
   if (length <= maxDocumentBytes) return;
   throw new TooLarge(
--- a/packages/decisions/src/weights/chunkRegions.ts
+++ b/packages/decisions/src/weights/chunkRegions.ts
@@ -1,8 +1,8 @@
 import { rendezvousOrder } from '@laburnumstream/common';
 import type { WeightMember } from './topology.js';
 
-/** Spreads consecutive numbers evenly over the unit interval. */
-const goldenFraction = 0.618_033_988_749_894_9;
+/** Step of a low-discrepancy sequence that spreads consecutive chunks evenly over the regions. */
+const goldenRatioFraction = 0.618_033_988_749_894_9;
 
 /** Members of one region. */
 interface Region {
@@ -10,18 +10,18 @@
   readonly members: readonly WeightMember[];
 }
 
-const nameOf = ({ name }: WeightMember): string => name;
+const getName = ({ name }: WeightMember): string => name;
 
 /**
- * Into which region each chunk comes first, and which member brings it there. All members that know
- * the same list agree without asking each other.
+ * Assigns each chunk to the region that receives it first, and to the member of each region that
+ * fetches it into that region. Members with the same member list agree without communication.
  */
-export class ChunkRegions {
+export class ChunkAssignment {
   private readonly members: readonly WeightMember[];
 
   private readonly regions: readonly Region[];
 
-  /** Place of this member among those of its region that may bring in each chunk. */
+  /** This member's rank among the members of its region, for each chunk. */
   private readonly ranks: readonly number[];
 
   constructor(
@@ -35,49 +35,52 @@
       name,
       members: this.members.filter(({ region }) => region === name),
     }));
-    const near = this.members.filter(({ region }) => region === self.region);
+    const local = this.members.filter(({ region }) => region === self.region);
     this.ranks = Array.from({ length: chunks }, (_, chunk) =>
-      rendezvousOrder(String(chunk), near, nameOf).findIndex(({ name }) => name === self.name),
+      rendezvousOrder(String(chunk), local, getName).findIndex(({ name }) => name === self.name),
     );
   }
 
-  /** This member's place among those of its region that may bring in a chunk; 0 is the first. */
-  rank(chunk: number): number {
+  /**
+   * This member's rank among the members of its region for fetching a chunk into it: rank 0 fetches
+   * first, higher ranks are fallbacks.
+   */
+  getRank(chunk: number): number {
     return this.ranks[chunk]!;
   }
 
-  /** Whether a chunk comes into this member's region first. */
-  isEntry(chunk: number): boolean {
-    return this.entryOf(chunk).name === this.self.region;
+  /** Whether this member's region receives a chunk first. */
+  isFirstRegion(chunk: number): boolean {
+    return this.getFirstRegion(chunk).name === this.self.region;
   }
 
-  /** Members of other regions that wait for a chunk that this region brings in first. */
-  waitingElsewhere(chunk: number): WeightMember[] {
-    if (!this.isEntry(chunk)) return [];
+  /** Members of the other regions that fetch a chunk from this region, which receives it first. */
+  remoteReceivers(chunk: number): WeightMember[] {
+    if (!this.isFirstRegion(chunk)) return [];
     return this.regions
       .filter(({ name }) => name !== this.self.region)
-      .map(({ members }) => rendezvousOrder(String(chunk), members, nameOf)[0]!);
+      .map(({ members }) => rendezvousOrder(String(chunk), members, getName)[0]!);
   }
 
-  /** Members of other regions from which this member brings in the chunks that are wanted. */
-  sources(isWanted: (chunk: number) => boolean): WeightMember[] {
-    const asked = new Map<string, WeightMember>();
+  /** Members of other regions from which this member fetches the wanted chunks. */
+  remoteSources(isWanted: (chunk: number) => boolean): WeightMember[] {
+    const sources = new Map<string, WeightMember>();
     for (let chunk = 0; chunk < this.chunks; chunk += 1) {
-      if (isWanted(chunk) && this.rank(chunk) === 0 && !this.isEntry(chunk)) {
-        const [first] = rendezvousOrder(String(chunk), this.entryOf(chunk).members, nameOf);
-        if (first) asked.set(first.name, first);
+      if (isWanted(chunk) && this.getRank(chunk) === 0 && !this.isFirstRegion(chunk)) {
+        const [first] = rendezvousOrder(String(chunk), this.getFirstRegion(chunk).members, getName);
+        if (first) sources.set(first.name, first);
       }
     }
-    return [...asked.values()];
+    return [...sources.values()];
   }
 
-  /** The region into which a chunk comes first: regions take turns by their number of members. */
-  private entryOf(chunk: number): Region {
-    let left = (((chunk + 1) * goldenFraction) % 1) * this.members.length;
-    const entry = this.regions.find(({ members }) => {
-      left -= members.length;
-      return left < 0;
+  /** The region that receives a chunk first; its share of chunks is proportional to its members. */
+  private getFirstRegion(chunk: number): Region {
+    let offset = (((chunk + 1) * goldenRatioFraction) % 1) * this.members.length;
+    const first = this.regions.find(({ members }) => {
+      offset -= members.length;
+      return offset < 0;
     });
-    return entry ?? this.regions[0]!;
+    return first ?? this.regions[0]!;
   }
 }
--- a/packages/decisions/src/weights/holderTransfer.ts
+++ b/packages/decisions/src/weights/holderTransfer.ts
@@ -1,113 +1,116 @@
 import type { Random } from '@laburnumstream/common';
-import { ChunkRegions } from './chunkRegions.js';
+import { ChunkAssignment } from './chunkRegions.js';
 import { origin } from './sources.js';
 import type { WeightSource } from './sources.js';
 import type { WeightMember } from './topology.js';
 import { FetchFault, sourceName } from './transfer.js';
 import type { ChunkFetch, ChunkTransfer } from './transfer.js';
 
-/** Limits of a transfer from known holders, in milliseconds but for counts. */
+/** Limits of a transfer from known holders; times are in milliseconds. */
 export interface HolderLimits {
   /**
-   * Time without a new chunk in a region after which its next member brings in one that none of them
-   * holds.
+   * Time without progress in a region after which its member of the next rank fetches a missing
+   * chunk into it.
    */
-  readonly deputyMs: number;
-  /** Time without a new chunk after which the origin is asked for one that another region brings. */
-  readonly remoteMs: number;
-  /** Time after which a fetch from a member is given up. */
+  readonly fallbackDelayMs: number;
+  /**
+   * Time without progress after which the origin is asked for a chunk that another region is to
+   * receive first.
+   */
+  readonly remoteOriginDelayMs: number;
+  /** Time after which a fetch from a member is abandoned. */
   readonly memberTimeoutMs: number;
-  /** Time after which a fetch from the origin is given up. */
+  /** Time after which a fetch from the origin is abandoned. */
   readonly originTimeoutMs: number;
-  /** Time for which a source that does not answer is avoided. */
+  /** Time for which a member that does not respond is avoided. */
   readonly avoidMs: number;
-  /** Time for which a source that is busy is not asked again. */
-  readonly busyMs: number;
-  /** Fetches from one member at once. */
-  readonly perMember: number;
-  /** Fetches from the origin at once, besides those from members. */
-  readonly originWindow: number;
-  /** Time for which the origin is not asked again after it did not answer. */
-  readonly originPauseMs: number;
-  /** Time in which the origin's link passes one chunk: members ask it one after the other. */
+  /** Delay before a source that is busy or does not hold the chunk yet is asked again. */
+  readonly busyRetryMs: number;
+  /** Maximum number of concurrent fetches from one member. */
+  readonly maxFetchesPerMember: number;
+  /** Maximum number of concurrent fetches from the origin, in addition to those from members. */
+  readonly maxOriginFetches: number;
+  /** Delay before the origin is asked again after a fetch from it failed. */
+  readonly originRetryMs: number;
+  /** Time that one chunk takes on the origin's link; requests to the origin are spaced by it. */
   readonly originChunkMs: number;
 }
 
-/** Limits where nothing else is set. */
-export const holderDefaults: HolderLimits = {
-  deputyMs: 350,
-  remoteMs: 600,
+/** Limits of a transfer from known holders unless the caller sets others. */
+export const defaultHolderLimits: HolderLimits = {
+  fallbackDelayMs: 350,
+  remoteOriginDelayMs: 600,
   memberTimeoutMs: 1_500,
   originTimeoutMs: 3_000,
   avoidMs: 2_000,
-  busyMs: 20,
-  perMember: 1,
-  originWindow: 2,
-  originPauseMs: 150,
+  busyRetryMs: 20,
+  maxFetchesPerMember: 1,
+  maxOriginFetches: 2,
+  originRetryMs: 150,
   originChunkMs: 0,
 };
 
-/** What is known of another member. */
-interface Holder {
+/** Last known state of another member. */
+interface HolderState {
   readonly member: WeightMember;
-  /** One byte for each chunk, 1 for those that it holds. */
+  /** One byte per chunk, 1 if the member holds it. */
   held: Uint8Array;
-  /** Transfers that it was giving when it last said so. */
-  giving: number;
+  /** Uploads in progress at the member, as it last reported. */
+  activeUploads: number;
   avoidedUntil: number;
-  /** Time until which it does not count as a source at all. */
+  /** Time until which it does not count as a holder of any chunk. */
   unreachableUntil: number;
-  /** Fetches from it that run. */
-  active: number;
+  /** Fetches from it in flight. */
+  activeFetches: number;
 }
 
 /**
- * The transfer of one version to one member that knows which chunks the others hold: each chunk
- * comes into a region once, brought by the member that a hash chooses, and spreads inside it from
- * holder to holder, the rarest first. Pure: the owner runs the fetches and tells how they ended.
+ * The transfer of one version to one member that knows which chunks the others hold. Each chunk is
+ * fetched into a region once, by the member that a hash selects, and spreads inside the region
+ * rarest-first. Free of I/O: the owner runs the fetches and reports how they ended.
  */
 export class HolderTransfer implements ChunkTransfer {
-  /** One byte for each chunk, 1 for those that are held here. */
+  /** One byte per chunk, 1 if it is held here. */
   readonly held: Uint8Array;
 
-  /** Fetches from members at once. */
-  window = 2;
+  /** Maximum number of concurrent fetches from members. */
+  maxMemberFetches = 2;
 
-  /** Fetches from the origin that run. */
-  private originActive = 0;
+  /** Fetches from the origin in flight. */
+  private activeOriginFetches = 0;
 
-  /** Time before which the origin is not asked, as it did not answer. */
+  /** Time until which the origin is not asked, because a fetch from it failed. */
   private originAvoidedUntil = 0;
 
   private heldCount = 0;
 
+  /** Fetches in flight by chunk. */
   private readonly active = new Map<number, ChunkFetch>();
 
-  private readonly holders = new Map<string, Holder>();
+  private readonly holders = new Map<string, HolderState>();
 
-  /** Who brings each chunk into which region first. */
-  private regions: ChunkRegions;
+  private assignment: ChunkAssignment;
 
-  /** Time before which a chunk is not asked of the origin again. */
-  private readonly originNotBefore: Float64Array;
+  /** For each chunk, the time before which it is not fetched from the origin again. */
+  private readonly originRetryAt: Float64Array;
 
-  /** Time of the last chunk that came into this member's region. */
-  private progressAt: number;
+  /** Time at which a chunk last arrived in this member's region. */
+  private regionProgressAt: number;
 
-  /** Sources that gave a wrong chunk. */
-  private readonly wrong = new Set<string>();
+  /** Pairs of chunk and source name for which the source sent corrupt bytes. */
+  private readonly corruptSources = new Set<string>();
 
   constructor(
     readonly chunks: number,
     private readonly self: WeightMember,
     private readonly random: Random,
     private readonly startedAt: number,
-    private readonly limits: HolderLimits = holderDefaults,
+    private readonly limits: HolderLimits = defaultHolderLimits,
   ) {
-    this.progressAt = startedAt;
+    this.regionProgressAt = startedAt;
     this.held = new Uint8Array(chunks);
-    this.originNotBefore = new Float64Array(chunks);
-    this.regions = new ChunkRegions(chunks, self, []);
+    this.originRetryAt = new Float64Array(chunks);
+    this.assignment = new ChunkAssignment(chunks, self, []);
   }
 
   get isComplete(): boolean {
@@ -118,15 +121,15 @@
     return this.chunks - this.heldCount;
   }
 
-  /** Whether a fetch is still waited for. */
+  /** Whether a fetch is in flight and has not been abandoned. */
   isRunning(fetch: ChunkFetch): boolean {
     return this.active.get(fetch.chunk) === fetch;
   }
 
-  /** Takes the members that take part; this one counts even when it is not listed. */
-  regroup(members: readonly WeightMember[]): void {
+  /** Sets the participating members; this member is included even if it is not listed. */
+  updateMembers(members: readonly WeightMember[]): void {
     const others = members.filter(({ name }) => name !== this.self.name);
-    this.regions = new ChunkRegions(this.chunks, this.self, others);
+    this.assignment = new ChunkAssignment(this.chunks, this.self, others);
     const known = new Set(others.map(({ name }) => name));
     [...this.holders.keys()].forEach((name) => known.has(name) || this.holders.delete(name));
     others.forEach((member) => {
@@ -135,98 +138,98 @@
       this.holders.set(member.name, {
         member,
         held,
-        giving: 0,
+        activeUploads: 0,
         avoidedUntil: 0,
         unreachableUntil: 0,
-        active: 0,
+        activeFetches: 0,
       });
     });
   }
 
-  /** A member said which chunks it holds. */
-  learn(name: string, held: Uint8Array, giving: number, now: number): void {
+  /** Applies a member's report of the chunks that it holds and its uploads in progress. */
+  updateHolder(name: string, held: Uint8Array, activeUploads: number, now: number): void {
     const holder = this.holders.get(name);
     if (!holder) return;
-    const isNews = held.some((flag, chunk) => flag === 1 && !this.isInRegion(chunk));
-    if (isNews && this.isNear(holder.member)) this.progressAt = now;
-    Object.assign(holder, { held, giving });
+    const hasNewChunk = held.some((flag, chunk) => flag === 1 && !this.isHeldInRegion(chunk));
+    if (hasNewChunk && this.isLocal(holder.member)) this.regionProgressAt = now;
+    Object.assign(holder, { held, activeUploads });
   }
 
-  /** A chunk is held here already. */
-  has(chunk: number): void {
+  /** Marks a chunk as held here. */
+  markHeld(chunk: number): void {
     if (this.held[chunk]) return;
     this.held[chunk] = 1;
     this.heldCount += 1;
   }
 
-  /** A chunk that was held has turned out to be spoilt. */
-  lost(chunk: number): void {
+  /** Marks a held chunk as missing again, after it was found damaged. */
+  markLost(chunk: number): void {
     if (!this.held[chunk]) return;
     this.held[chunk] = 0;
     this.heldCount -= 1;
   }
 
-  /** Members of other regions that wait for a chunk that this region brings in first. */
-  waitingElsewhere(chunk: number): WeightMember[] {
-    return this.regions.waitingElsewhere(chunk);
+  /** Members of other regions that fetch a chunk from this region, which receives it first. */
+  remoteReceivers(chunk: number): WeightMember[] {
+    return this.assignment.remoteReceivers(chunk);
   }
 
-  /** Members of other regions that bring in chunks which this member is to take from them. */
-  askedElsewhere(): WeightMember[] {
-    return this.regions.sources((chunk) => !this.held[chunk]);
+  /** Members of other regions from which this member fetches chunks into its own region. */
+  remoteSources(): WeightMember[] {
+    return this.assignment.remoteSources((chunk) => !this.held[chunk]);
   }
 
-  start(now: number): ChunkFetch[] {
+  startFetches(now: number): ChunkFetch[] {
     const fetches: ChunkFetch[] = [];
-    const begin = (fetch: ChunkFetch): void => {
+    const track = (fetch: ChunkFetch): void => {
       this.active.set(fetch.chunk, fetch);
-      this.countActive(fetch.source, 1);
+      this.adjustActiveFetches(fetch.source, 1);
       fetches.push(fetch);
     };
-    // What only the origin has is at risk until it has left it, so that goes beside all else.
-    while (this.originActive < this.limits.originWindow) {
-      const fetch = this.fromOrigin(now);
+    // Chunks that only the origin holds are lost if it fails: they don't wait for other fetches.
+    while (this.activeOriginFetches < this.limits.maxOriginFetches) {
+      const fetch = this.nextOriginFetch(now);
       if (!fetch) break;
-      begin(fetch);
+      track(fetch);
     }
-    while (this.active.size - this.originActive < this.window) {
-      const fetch = this.fromNear(now) ?? this.fromAfar(now);
+    while (this.active.size - this.activeOriginFetches < this.maxMemberFetches) {
+      const fetch = this.nextLocalFetch(now) ?? this.nextRemoteFetch(now);
       if (!fetch) break;
-      begin(fetch);
+      track(fetch);
     }
     return fetches;
   }
 
-  /** Gives up fetches that take too long and starts others. */
-  hedge(now: number): ChunkFetch[] {
+  /** Abandons overdue fetches and starts others. */
+  hedgeFetches(now: number): ChunkFetch[] {
     [...this.active.values()]
-      .filter((fetch) => now - fetch.startedAt > this.timeoutOf(fetch.source))
-      .forEach((fetch) => this.failed(fetch, FetchFault.unreachable, now));
-    return this.start(now);
+      .filter((fetch) => now - fetch.startedAt > this.getTimeoutMs(fetch.source))
+      .forEach((fetch) => this.fetchFailed(fetch, FetchFault.unreachable, now));
+    return this.startFetches(now);
   }
 
-  succeeded(fetch: ChunkFetch, now: number): readonly ChunkFetch[] {
-    this.end(fetch);
-    if (!this.isInRegion(fetch.chunk)) this.progressAt = now;
-    this.has(fetch.chunk);
+  fetchSucceeded(fetch: ChunkFetch, now: number): readonly ChunkFetch[] {
+    this.endFetch(fetch);
+    if (!this.isHeldInRegion(fetch.chunk)) this.regionProgressAt = now;
+    this.markHeld(fetch.chunk);
     return [];
   }
 
-  failed(fetch: ChunkFetch, fault: FetchFault, now: number): void {
-    if (!this.end(fetch)) return;
+  fetchFailed(fetch: ChunkFetch, fault: FetchFault, now: number): void {
+    if (!this.endFetch(fetch)) return;
     const { chunk, source } = fetch;
-    const { avoidMs, busyMs, originPauseMs } = this.limits;
-    const waitMs = fault === FetchFault.notYet ? busyMs : avoidMs;
-    if (fault === FetchFault.corrupt) this.wrong.add(`${chunk}\n${sourceName(source)}`);
+    const { avoidMs, busyRetryMs, originRetryMs } = this.limits;
+    const waitMs = fault === FetchFault.notYet ? busyRetryMs : avoidMs;
+    if (fault === FetchFault.corrupt) this.corruptSources.add(`${chunk}\n${sourceName(source)}`);
     if (source === origin) {
       if (fault === FetchFault.corrupt) {
-        this.originNotBefore[chunk] = now + busyMs;
-        this.wrong.delete(`${chunk}\n${origin}`);
+        this.originRetryAt[chunk] = now + busyRetryMs;
+        this.corruptSources.delete(`${chunk}\n${origin}`);
         return;
       }
-      this.originAvoidedUntil = now + originPauseMs;
-      // A deputy waits anew: the others would all ask an origin that comes back.
-      if (this.regions.rank(chunk) !== 0) this.progressAt = now;
+      this.originAvoidedUntil = now + originRetryMs;
+      // A fallback member waits again, else all of them would ask the origin once it is back.
+      if (this.assignment.getRank(chunk) !== 0) this.regionProgressAt = now;
       return;
     }
     const holder = this.holders.get(source.name);
@@ -235,61 +238,63 @@
     if (fault === FetchFault.unreachable) holder.unreachableUntil = now + avoidMs;
   }
 
-  /** The rarest chunk that a near member holds. */
-  private fromNear(now: number): ChunkFetch | undefined {
-    const near = this.usableHolders(now).filter(({ member }) => this.isNear(member));
-    if (near.length === 0) return undefined;
-    let best = -1;
-    let fewest = Infinity;
-    const from = Math.floor(this.random.next() * this.chunks);
+  /** A fetch of the rarest missing chunk that a member of the same region holds. */
+  private nextLocalFetch(now: number): ChunkFetch | undefined {
+    const local = this.usableHolders(now).filter(({ member }) => this.isLocal(member));
+    if (local.length === 0) return undefined;
+    let rarest = -1;
+    let fewestCopies = Infinity;
+    const first = Math.floor(this.random.next() * this.chunks);
     for (let step = 0; step < this.chunks; step += 1) {
-      const chunk = (from + step) % this.chunks;
+      const chunk = (first + step) % this.chunks;
       if (this.isMissing(chunk)) {
-        const count = near.reduce((sum, holder) => sum + this.gives(holder, chunk), 0);
-        if (count > 0 && count < fewest) {
-          best = chunk;
-          fewest = count;
+        const copies = local.reduce((sum, holder) => sum + this.usableCopies(holder, chunk), 0);
+        if (copies > 0 && copies < fewestCopies) {
+          rarest = chunk;
+          fewestCopies = copies;
         }
       }
     }
-    if (best < 0) return undefined;
-    return { chunk: best, source: this.leastBusy(near, best), startedAt: now };
+    if (rarest < 0) return undefined;
+    return { chunk: rarest, source: this.leastLoadedSource(local, rarest), startedAt: now };
   }
 
-  /** A chunk that no near member holds, when it is this member's turn to bring it in. */
-  private fromAfar(now: number): ChunkFetch | undefined {
-    const far = this.usableHolders(now).filter(({ member }) => !this.isNear(member));
-    const waited = now - this.progressAt;
+  /** A fetch from another region of a chunk that its own region lacks, if it is its turn. */
+  private nextRemoteFetch(now: number): ChunkFetch | undefined {
+    const remote = this.usableHolders(now).filter(({ member }) => !this.isLocal(member));
+    const stalledMs = now - this.regionProgressAt;
     for (let chunk = 0; chunk < this.chunks; chunk += 1) {
-      const isTurn = waited >= this.regions.rank(chunk) * this.limits.deputyMs;
-      if (isTurn && this.isMissing(chunk) && !this.isHeldNear(chunk)) {
-        const holders = far.filter((holder) => this.gives(holder, chunk));
+      const isTurn = stalledMs >= this.assignment.getRank(chunk) * this.limits.fallbackDelayMs;
+      if (isTurn && this.isMissing(chunk) && !this.isHeldByRegionPeer(chunk)) {
+        const holders = remote.filter((holder) => this.usableCopies(holder, chunk));
         if (holders.length > 0) {
-          return { chunk, source: this.leastBusy(holders, chunk), startedAt: now };
+          return { chunk, source: this.leastLoadedSource(holders, chunk), startedAt: now };
         }
       }
     }
     return undefined;
   }
 
-  /** A chunk that no member is known to hold, when it is this member's turn to ask the origin. */
-  private fromOrigin(now: number): ChunkFetch | undefined {
+  /** A fetch from the origin of a chunk without a known holder, if it is this member's turn. */
+  private nextOriginFetch(now: number): ChunkFetch | undefined {
     if (now < this.originAvoidedUntil) return undefined;
-    const { deputyMs, remoteMs } = this.limits;
-    const waited = now - this.progressAt;
+    const { fallbackDelayMs, remoteOriginDelayMs } = this.limits;
+    const stalledMs = now - this.regionProgressAt;
     for (let chunk = 0; chunk < this.chunks; chunk += 1) {
-      const isEntry = this.regions.isEntry(chunk);
-      const waitMs = this.regions.rank(chunk) * deputyMs + (isEntry ? 0 : remoteMs);
+      const isFirstRegion = this.assignment.isFirstRegion(chunk);
+      const waitMs =
+        this.assignment.getRank(chunk) * fallbackDelayMs +
+        (isFirstRegion ? 0 : remoteOriginDelayMs);
       const isTurn =
-        waited >= waitMs && this.isOriginTurn(chunk, now) && now >= this.originNotBefore[chunk]!;
-      if (isTurn && this.isMissing(chunk) && !this.isKnown(chunk, now)) {
+        stalledMs >= waitMs && this.isOriginTurn(chunk, now) && now >= this.originRetryAt[chunk]!;
+      if (isTurn && this.isMissing(chunk) && !this.hasReachableHolder(chunk, now)) {
         return { chunk, source: origin, startedAt: now };
       }
     }
     return undefined;
   }
 
-  /** Chunks leave the origin one after the other: the first can spread while others still come. */
+  /** The origin serves chunks in sequence: the first ones spread while others still arrive. */
   private isOriginTurn(chunk: number, now: number): boolean {
     return now - this.startedAt >= chunk * this.limits.originChunkMs;
   }
@@ -298,67 +303,69 @@
     return !this.held[chunk] && !this.active.has(chunk);
   }
 
-  private isInRegion(chunk: number): boolean {
-    return this.held[chunk] === 1 || this.isHeldNear(chunk);
+  private isHeldInRegion(chunk: number): boolean {
+    return this.held[chunk] === 1 || this.isHeldByRegionPeer(chunk);
   }
 
-  /** Whether any member that may be asked is known to hold a chunk. */
-  private isKnown(chunk: number, now: number): boolean {
+  /** Whether any member not considered unreachable is known to hold a chunk. */
+  private hasReachableHolder(chunk: number, now: number): boolean {
     return [...this.holders.values()].some(
-      (holder) => now >= holder.unreachableUntil && this.gives(holder, chunk) === 1,
+      (holder) => now >= holder.unreachableUntil && this.usableCopies(holder, chunk) === 1,
     );
   }
 
-  private isHeldNear(chunk: number): boolean {
+  private isHeldByRegionPeer(chunk: number): boolean {
     return [...this.holders.values()].some(
-      ({ member, held }) => this.isNear(member) && held[chunk] === 1,
+      ({ member, held }) => this.isLocal(member) && held[chunk] === 1,
     );
   }
 
-  private isNear({ region }: WeightMember): boolean {
+  private isLocal({ region }: WeightMember): boolean {
     return region === this.self.region;
   }
 
-  private gives({ member, held }: Holder, chunk: number): number {
-    return held[chunk] === 1 && !this.wrong.has(`${chunk}\n${member.name}`) ? 1 : 0;
+  /** Copies of a chunk that can be fetched from a holder: 0 or 1. */
+  private usableCopies({ member, held }: HolderState, chunk: number): number {
+    return held[chunk] === 1 && !this.corruptSources.has(`${chunk}\n${member.name}`) ? 1 : 0;
   }
 
-  private usableHolders(now: number): Holder[] {
+  private usableHolders(now: number): HolderState[] {
     return [...this.holders.values()].filter(
-      ({ avoidedUntil, active }) => now >= avoidedUntil && active < this.limits.perMember,
+      ({ avoidedUntil, activeFetches }) =>
+        now >= avoidedUntil && activeFetches < this.limits.maxFetchesPerMember,
     );
   }
 
-  private leastBusy(holders: readonly Holder[], chunk: number): WeightSource {
-    let best: Holder | undefined;
-    let least = Infinity;
+  private leastLoadedSource(holders: readonly HolderState[], chunk: number): WeightSource {
+    let best: HolderState | undefined;
+    let lowestLoad = Infinity;
     holders.forEach((holder) => {
-      if (!this.gives(holder, chunk)) return;
-      const load = holder.giving + holder.active + this.random.next();
-      if (load >= least) return;
+      if (!this.usableCopies(holder, chunk)) return;
+      const load = holder.activeUploads + holder.activeFetches + this.random.next();
+      if (load >= lowestLoad) return;
       best = holder;
-      least = load;
+      lowestLoad = load;
     });
     return best!.member;
   }
 
-  private timeoutOf(source: WeightSource): number {
+  private getTimeoutMs(source: WeightSource): number {
     return source === origin ? this.limits.originTimeoutMs : this.limits.memberTimeoutMs;
   }
 
-  private end(fetch: ChunkFetch): boolean {
+  private endFetch(fetch: ChunkFetch): boolean {
     if (this.active.get(fetch.chunk) !== fetch) return false;
     this.active.delete(fetch.chunk);
-    this.countActive(fetch.source, -1);
+    this.adjustActiveFetches(fetch.source, -1);
     return true;
   }
 
-  private countActive(source: WeightSource, by: number): void {
+  private adjustActiveFetches(source: WeightSource, by: number): void {
     if (source === origin) {
-      this.originActive += by;
+      this.activeOriginFetches += by;
       return;
     }
     const holder = this.holders.get(source.name);
-    if (holder) holder.active += by;
+    if (holder) holder.activeFetches += by;
   }
 }
--- a/packages/decisions/src/weights/rollOut.ts
+++ b/packages/decisions/src/weights/rollOut.ts
@@ -1,40 +1,43 @@
 import type { Configuration, Release } from '../configuration/model.js';
 
-/** Longest delay before an endpoint tries to take a slot, in milliseconds. */
-const maxOrderDelayMs = 1_000;
+/** Longest delay before an endpoint first tries to acquire a slot, in milliseconds. */
+const maxSlotDelayMs = 1_000;
 
-/** How long an endpoint waits before it tries to take a slot: those with most spare load go first. */
-export function switchDelayMs(inFlight: number, limit: number): number {
-  return Math.min(1, inFlight / Math.max(1, limit)) * maxOrderDelayMs;
+/**
+ * Delay before an endpoint first tries to acquire a slot, in milliseconds: proportional to its
+ * load, so that the least loaded endpoints switch first.
+ */
+export function slotDelayMs(inFlight: number, limit: number): number {
+  return Math.min(1, inFlight / Math.max(1, limit)) * maxSlotDelayMs;
 }
 
-/** Shortest time between two looks at taken slots, in milliseconds. */
+/** Minimum interval between two polls for a free slot, in milliseconds. */
 const minSlotPollMs = 200;
-/** Time between the looks of all waiting endpoints of a data centre, in milliseconds. */
-const sharedPollMs = 25;
+/** Average interval between polls by all waiting endpoints of a data centre, in milliseconds. */
+const pollSpacingMs = 25;
 
 /**
- * Time between an endpoint's looks at taken slots, in milliseconds: grows with the endpoints that
- * may wait for them, so that together they cost the store the same whatever their number.
+ * Interval at which one endpoint polls for a free slot, in milliseconds. It grows with the number
+ * of endpoints that may wait, so that the total load on the store does not.
  */
-export function slotPollMs(endpoints: number): number {
-  return Math.max(minSlotPollMs, endpoints * sharedPollMs);
+export function slotPollIntervalMs(endpoints: number): number {
+  return Math.max(minSlotPollMs, endpoints * pollSpacingMs);
 }
 
-/** What one endpoint showed of a version after it was ordered to load it. */
-export interface SwitchRecord {
+/** Failures of one version at one endpoint. */
+export interface VersionFailures {
   readonly digest: string;
-  /** Orders that failed in a row though the slot was held. */
+  /** Load orders that the endpoint refused; losing the slot does not count. */
   readonly failedLoads: number;
-  /** Times that the endpoint lost the version soon after it had loaded it. */
+  /** Times that the endpoint lost the weights shortly after loading them. */
   readonly losses: number;
 }
 
 const maxFailedLoads = 2;
 const maxLosses = 2;
 
-/** Why an endpoint holds a version for unfit; undefined while it does not. */
-export function unfitReason({ failedLoads, losses }: SwitchRecord): string | undefined {
+/** The reason why an endpoint considers a version unfit; undefined while it does not. */
+export function unfitReason({ failedLoads, losses }: VersionFailures): string | undefined {
   if (failedLoads >= maxFailedLoads) return `failed to load ${failedLoads} times`;
   if (losses >= maxLosses) return `lost its weights ${losses} times after the switch`;
   return undefined;
@@ -47,8 +50,11 @@
   readonly reason: string;
 }
 
-/** The release after a stop: the version before serves again; undefined when there is none. */
-export function stoppedRelease(
+/**
+ * The release rolled back to its previous version and marked as stopped; undefined when it has no
+ * previous version or the report is about another version.
+ */
+export function rollBackRelease(
   release: Release | undefined,
   { instance, digest, reason }: UnfitReport,
 ): Release | undefined {
@@ -57,8 +63,8 @@
   return { ...previous, startedAt, stopped: `${version}: ${instance} ${reason}` };
 }
 
-/** The first report that speaks against a version which is being rolled out. */
-export function unfitRelease(
+/** The first model whose version in roll-out is reported unfit, with the report. */
+export function findUnfitRelease(
   configuration: Configuration,
   reports: readonly UnfitReport[],
 ): { model: string; report: UnfitReport } | undefined {
@@ -69,8 +75,8 @@
   return undefined;
 }
 
-/** Time left of a roll-out from its pace so far, in milliseconds; undefined before the first switch. */
-export function timeLeftMs(
+/** Estimated remaining time of a roll-out, in milliseconds; undefined before the first switch. */
+export function estimateTimeLeftMs(
   done: number,
   endpoints: number,
   startedAt: number,
--- a/packages/decisions/src/weights/sources.ts
+++ b/packages/decisions/src/weights/sources.ts
@@ -1,117 +1,125 @@
 import { rendezvousOrder } from '@laburnumstream/common';
 import type { Topology, WeightMember } from './topology.js';
 
-/** Where a chunk is fetched from; `origin` is the platform's store of weights. */
+/** The member that a chunk is fetched from, or `origin`, the platform's weight store. */
 export type WeightSource = WeightMember | typeof origin;
 
-/** The origin as a source. */
+/** Identifies the origin as a source. */
 export const origin = 'origin';
 
-/** Sources of a chunk for one member, best first. */
+/** Yields the sources of a chunk for one member, best first. */
 export type SourceOrder = (
   topology: Topology,
   self: WeightMember,
   chunk: number,
 ) => Iterable<WeightSource>;
 
-/** Children of each member inside a data centre. */
+/** Children of each member in a data centre's tree. */
 const fanOut = 2;
-/** Positions tried in each data centre before it when its first member does not answer. */
-const deputies = 3;
-/** Nearest earlier positions tried when all ancestors have failed. */
-const neighbours = 4;
+/** Members tried in each preceding data centre, as its first member may not respond. */
+const candidatesPerDataCentre = 3;
+/** Closest preceding positions tried when all ancestors have failed. */
+const neighbourCandidates = 4;
 
-function* earlierCentres(topology: Topology, home: number, chunk: number): Iterable<WeightSource> {
+/** The first members of the preceding data centres, the closest data centre first. */
+function* earlierDataCentreSources(
+  topology: Topology,
+  group: number,
+  chunk: number,
+): Iterable<WeightSource> {
   const order = topology.dataCentreOrder(chunk);
-  for (let index = order.indexOf(home) - 1; index >= 0; index -= 1) {
-    for (let position = 0; position < deputies; position += 1) {
-      const member = topology.at(order[index]!, position, chunk);
+  for (let index = order.indexOf(group) - 1; index >= 0; index -= 1) {
+    for (let position = 0; position < candidatesPerDataCentre; position += 1) {
+      const member = topology.memberAt(order[index]!, position, chunk);
       if (member) yield member;
     }
   }
 }
 
-/** Members that may hold the chunk though they should have it later; for when the origin is down. */
-function* otherHolders(
+/** Members that may hold the chunk although they rank later; for when the origin is down. */
+function* lastResortSources(
   topology: Topology,
   self: WeightMember,
   chunk: number,
 ): Iterable<WeightSource> {
-  for (const home of topology.dataCentreOrder(chunk)) {
-    for (let position = 0; position < deputies; position += 1) {
-      const member = topology.at(home, position, chunk);
+  for (const group of topology.dataCentreOrder(chunk)) {
+    for (let position = 0; position < candidatesPerDataCentre; position += 1) {
+      const member = topology.memberAt(group, position, chunk);
       if (member && member.name !== self.name) yield member;
     }
   }
 }
 
 /**
- * Per-chunk trees: the parent in the data centre's tree, further ancestors, nearest earlier
- * positions, then the first members of the data centres before, the origin, and any other holder.
+ * A tree per chunk: the parent in the data centre's tree, its ancestors, the closest preceding
+ * positions, the first members of the preceding data centres, the origin, and any other holder.
  */
 function* treeSources(
   topology: Topology,
   self: WeightMember,
   chunk: number,
 ): Iterable<WeightSource> {
-  const home = topology.homeOf(self.name);
-  const place = topology.positionOf(self.name, chunk);
-  for (let position = place; position > 0;) {
+  const group = topology.getGroupIndex(self.name);
+  const ownPosition = topology.getPosition(self.name, chunk);
+  for (let position = ownPosition; position > 0;) {
     position = Math.floor((position - 1) / fanOut);
-    yield topology.at(home, position, chunk)!;
+    yield topology.memberAt(group, position, chunk)!;
   }
-  const last = Math.max(0, place - neighbours);
-  for (let position = place - 1; position >= last; position -= 1) {
-    yield topology.at(home, position, chunk)!;
+  const last = Math.max(0, ownPosition - neighbourCandidates);
+  for (let position = ownPosition - 1; position >= last; position -= 1) {
+    yield topology.memberAt(group, position, chunk)!;
   }
-  yield* earlierCentres(topology, home, chunk);
+  yield* earlierDataCentreSources(topology, group, chunk);
   yield origin;
-  yield* otherHolders(topology, self, chunk);
+  yield* lastResortSources(topology, self, chunk);
 }
 
-/** One chain through each data centre, the same for all chunks. */
+/** A chain through each data centre, the same for all chunks. */
 function* chainSources(topology: Topology, self: WeightMember): Iterable<WeightSource> {
-  const home = topology.homeOf(self.name);
-  for (let position = topology.positionOf(self.name, 0); position > 0;) {
+  const group = topology.getGroupIndex(self.name);
+  for (let position = topology.getPosition(self.name, 0); position > 0;) {
     position -= 1;
-    yield topology.at(home, position, 0)!;
+    yield topology.memberAt(group, position, 0)!;
   }
-  yield* earlierCentres(topology, home, 0);
+  yield* earlierDataCentreSources(topology, group, 0);
   yield origin;
 }
 
-/** Per-chunk trees over rendezvous orders, as in the first design. */
+/** A tree per chunk over rendezvous orders; the predecessor of `treeSources`. */
 function* rendezvousSources(
   topology: Topology,
   self: WeightMember,
   chunk: number,
 ): Iterable<WeightSource> {
-  const home = topology.homeOf(self.name);
-  const order = orderOf(topology, home, chunk);
+  const group = topology.getGroupIndex(self.name);
+  const order = getRendezvousOrder(topology, group, chunk);
   for (let position = order.indexOf(self); position > 0;) {
     position = Math.floor((position - 1) / fanOut);
     yield order[position]!;
   }
-  const centres = topology.dataCentreOrder(chunk);
-  for (let index = centres.indexOf(home) - 1; index >= 0; index -= 1) {
-    yield* orderOf(topology, centres[index]!, chunk).slice(0, deputies);
+  const dataCentres = topology.dataCentreOrder(chunk);
+  for (let index = dataCentres.indexOf(group) - 1; index >= 0; index -= 1) {
+    yield* getRendezvousOrder(topology, dataCentres[index]!, chunk).slice(
+      0,
+      candidatesPerDataCentre,
+    );
   }
   yield origin;
 }
 
-const orders = new WeakMap<Topology, Map<string, WeightMember[]>>();
+const rendezvousOrderCache = new WeakMap<Topology, Map<string, WeightMember[]>>();
 
-function orderOf(topology: Topology, home: number, chunk: number): WeightMember[] {
-  const known = orders.get(topology) ?? new Map<string, WeightMember[]>();
-  orders.set(topology, known);
-  const key = `${home}/${chunk}`;
-  const group = topology.groups[home]!.members;
-  const order = known.get(key) ?? rendezvousOrder(String(chunk), group, ({ name }) => name);
-  known.set(key, order);
+function getRendezvousOrder(topology: Topology, group: number, chunk: number): WeightMember[] {
+  const cache = rendezvousOrderCache.get(topology) ?? new Map<string, WeightMember[]>();
+  rendezvousOrderCache.set(topology, cache);
+  const key = `${group}/${chunk}`;
+  const groupMembers = topology.groups[group]!.members;
+  const order = cache.get(key) ?? rendezvousOrder(String(chunk), groupMembers, ({ name }) => name);
+  cache.set(key, order);
   return order;
 }
 
-/** Ways to choose sources by the place of a member alone. */
+/** Source orders that depend only on a member's position in the topology. */
 export const sourceOrders = {
   trees: treeSources,
   rendezvousTrees: rendezvousSources,
@@ -119,14 +127,15 @@
   originOnly: () => [origin] as const,
 } as const satisfies Readonly<Record<string, SourceOrder>>;
 
+/** Weight of one tree level in the sending priority, as a number of chunks. */
 const depthWeight = 4;
 
 /**
- * The order in which a holder sends chunks that several receivers wait for, lowest first: earlier
- * chunks, and receivers nearer to the root, on which more members wait.
+ * Priority with which a holder sends a chunk to a waiting receiver, lowest first: prefers earlier
+ * chunks, and receivers closer to the root, on which more members depend.
  */
 export function sendingPriority(topology: Topology, receiver: string, chunk: number): number {
-  const isKnown = topology.homeOf(receiver) >= 0;
-  const position = isKnown ? topology.positionOf(receiver, chunk) : chunk;
+  const isKnown = topology.getGroupIndex(receiver) >= 0;
+  const position = isKnown ? topology.getPosition(receiver, chunk) : chunk;
   return chunk + depthWeight * Math.log2(1 + position);
 }
--- a/packages/decisions/src/weights/swarm.ts
+++ b/packages/decisions/src/weights/swarm.ts
@@ -5,19 +5,18 @@
 import { FetchFault } from './transfer.js';
 import type { ChunkFetch, ChunkTransfer } from './transfer.js';
 
-/** What a member of a swarm knows of a neighbour: the chunks that it held at the last exchange. */
-export interface Neighbour {
+/** A neighbour in a swarm and the chunks that it held at the last exchange. */
+export interface SwarmNeighbour {
   readonly member: WeightMember;
   readonly held: Uint8Array;
 }
 
-/** Fetches at once. */
-const window = 8;
-const deadlineMs = 3_000;
+const maxActiveFetches = 8;
+const fetchTimeoutMs = 3_000;
 
 /**
- * A plain rarest-first swarm, the way weighed against trees: each member fetches the chunk that the
- * fewest of its neighbours hold from one of those that do. Only a few seeds ask the origin.
+ * A plain rarest-first swarm, the baseline for the tree schemes: each member fetches the chunk held
+ * by the fewest of its neighbours from one of them. Only a few seeds fetch from the origin.
  */
 export class SwarmTransfer implements ChunkTransfer {
   readonly held: Uint8Array;
@@ -30,7 +29,7 @@
 
   constructor(
     private readonly chunks: number,
-    private readonly neighbours: readonly Neighbour[],
+    private readonly neighbours: readonly SwarmNeighbour[],
     private readonly isSeed: boolean,
     private readonly random: Random,
   ) {
@@ -41,10 +40,10 @@
     return this.heldCount === this.chunks;
   }
 
-  start(now: number): ChunkFetch[] {
+  startFetches(now: number): ChunkFetch[] {
     const fetches: ChunkFetch[] = [];
-    while (this.active.size < window) {
-      const fetch = this.choose(now);
+    while (this.active.size < maxActiveFetches) {
+      const fetch = this.nextFetch(now);
       if (!fetch) break;
       this.active.set(fetch.chunk, fetch);
       fetches.push(fetch);
@@ -52,14 +51,14 @@
     return fetches;
   }
 
-  hedge(now: number): ChunkFetch[] {
+  hedgeFetches(now: number): ChunkFetch[] {
     [...this.active.values()]
-      .filter(({ startedAt }) => now - startedAt > deadlineMs)
-      .forEach((fetch) => this.failed(fetch, FetchFault.unreachable));
-    return this.start(now);
+      .filter(({ startedAt }) => now - startedAt > fetchTimeoutMs)
+      .forEach((fetch) => this.fetchFailed(fetch, FetchFault.unreachable));
+    return this.startFetches(now);
   }
 
-  succeeded(fetch: ChunkFetch): readonly ChunkFetch[] {
+  fetchSucceeded(fetch: ChunkFetch): readonly ChunkFetch[] {
     this.active.delete(fetch.chunk);
     if (!this.held[fetch.chunk]) {
       this.held[fetch.chunk] = 1;
@@ -68,32 +67,32 @@
     return [];
   }
 
-  failed({ chunk, source }: ChunkFetch, fault: FetchFault): void {
+  fetchFailed({ chunk, source }: ChunkFetch, fault: FetchFault): void {
     this.active.delete(chunk);
     if (fault === FetchFault.unreachable && source !== origin) this.avoided.add(source.name);
   }
 
-  private choose(now: number): ChunkFetch | undefined {
+  private nextFetch(now: number): ChunkFetch | undefined {
     const usable = this.neighbours.filter(({ member }) => !this.avoided.has(member.name));
     let best = -1;
-    let fewest = Infinity;
-    const from = Math.floor(this.random.next() * this.chunks);
+    let fewestHolders = Infinity;
+    const first = Math.floor(this.random.next() * this.chunks);
     for (let step = 0; step < this.chunks; step += 1) {
-      const chunk = (from + step) % this.chunks;
+      const chunk = (first + step) % this.chunks;
       if (this.held[chunk] || this.active.has(chunk)) continue;
       const holders = usable.reduce((sum, { held }) => sum + held[chunk]!, 0);
       const fetchable = holders > 0 || this.isSeed;
-      if (fetchable && holders < fewest) {
+      if (fetchable && holders < fewestHolders) {
         best = chunk;
-        fewest = holders;
+        fewestHolders = holders;
       }
     }
     return best < 0
       ? undefined
-      : { chunk: best, source: this.holder(best, usable), startedAt: now };
+      : { chunk: best, source: this.chooseSource(best, usable), startedAt: now };
   }
 
-  private holder(chunk: number, usable: readonly Neighbour[]): WeightSource {
+  private chooseSource(chunk: number, usable: readonly SwarmNeighbour[]): WeightSource {
     const holders = usable.filter(({ held }) => held[chunk]);
     const chosen = holders[Math.floor(this.random.next() * holders.length)];
     return chosen?.member ?? origin;
--- a/packages/decisions/src/weights/topology.ts
+++ b/packages/decisions/src/weights/topology.ts
@@ -1,45 +1,46 @@
 import { hash32 } from '@laburnumstream/common';
 
-/** A holder or receiver of weights. */
+/** An instance that holds or receives weights. */
 export interface WeightMember {
   readonly name: string;
   readonly region: string;
   readonly dataCentre: string;
 }
 
-/** Members of one data centre in the order that a version gives them. */
-export interface WeightGroup {
+/** Members of one data centre, ordered by a hash of the version's digest and the member's name. */
+export interface DataCentreGroup {
   readonly dataCentre: string;
   readonly region: string;
   readonly members: readonly WeightMember[];
 }
 
-const goldenFraction = 0.618_033_988_749_894_9;
+/** Fractional part of the golden ratio: the step of a low-discrepancy sequence. */
+const goldenRatioFraction = 0.618_033_988_749_894_9;
 
-/** A number in [0, 1) for each index; any run of indexes covers the interval evenly. */
-function evenFraction(index: number): number {
-  return (index * goldenFraction) % 1;
+/** Maps an index to [0, 1) such that any run of consecutive indexes covers the interval evenly. */
+function lowDiscrepancyFraction(index: number): number {
+  return (index * goldenRatioFraction) % 1;
 }
 
-/** How far the ring of a data centre is turned for a chunk. */
-function turnOf(chunk: number, length: number): number {
-  return Math.floor(evenFraction(chunk) * length);
+/** Number of positions by which a data centre's ring is rotated for a chunk. */
+function ringRotation(chunk: number, length: number): number {
+  return Math.floor(lowDiscrepancyFraction(chunk) * length);
 }
 
-function compareBy(key: string): (a: string, b: string) => number {
+function compareByHash(key: string): (a: string, b: string) => number {
   return (a, b) => hash32(`${key}\n${a}`) - hash32(`${key}\n${b}`) || (a < b ? -1 : 1);
 }
 
 /**
- * One member's view of who takes part in the transfer of a version. Built once for each list of
- * instances; the questions asked for each chunk allocate nothing but the small order of data centres.
+ * One member's view of the participants in the transfer of a version. Built once per member list;
+ * lookups per chunk allocate nothing except the short list of data centres.
  */
 export class Topology {
-  readonly groups: readonly WeightGroup[];
+  readonly groups: readonly DataCentreGroup[];
 
   private readonly ranks = new Map<string, number>();
 
-  private readonly homes = new Map<string, number>();
+  private readonly groupIndexes = new Map<string, number>();
 
   private readonly regions: readonly string[];
 
@@ -48,22 +49,22 @@
     members: readonly WeightMember[],
     readonly originRegion: string,
   ) {
-    const compare = compareBy(digest);
-    const byName = new Map<string, WeightMember[]>();
+    const compare = compareByHash(digest);
+    const byDataCentre = new Map<string, WeightMember[]>();
     members.forEach((member) => {
-      const group = byName.get(member.dataCentre);
+      const group = byDataCentre.get(member.dataCentre);
       if (group) group.push(member);
-      else byName.set(member.dataCentre, [member]);
+      else byDataCentre.set(member.dataCentre, [member]);
     });
-    const names = [...byName.keys()].sort(compare);
+    const names = [...byDataCentre.keys()].sort(compare);
     this.groups = names.map((dataCentre) => {
-      const sorted = Topology.sorted(digest, byName.get(dataCentre)!);
+      const sorted = Topology.sortMembers(digest, byDataCentre.get(dataCentre)!);
       return { dataCentre, region: sorted[0]!.region, members: sorted };
     });
-    this.groups.forEach((group, home) => {
+    this.groups.forEach((group, index) => {
       group.members.forEach(({ name }, rank) => {
         this.ranks.set(name, rank);
-        this.homes.set(name, home);
+        this.groupIndexes.set(name, index);
       });
     });
     const others = [...new Set(this.groups.map(({ region }) => region))]
@@ -72,40 +73,40 @@
     this.regions = [originRegion, ...others];
   }
 
-  /** Index of the member's data centre in `groups`; -1 for a stranger. */
-  homeOf(name: string): number {
-    return this.homes.get(name) ?? -1;
+  /** Index of the member's data centre in `groups`; -1 for an unknown member. */
+  getGroupIndex(name: string): number {
+    return this.groupIndexes.get(name) ?? -1;
   }
 
   /**
-   * The position of a member in the order of its data centre for a chunk. The order is one ring that
-   * is turned for each chunk, so that each member stands at each position equally often.
+   * Position of a member in its data centre's order for a chunk. The order is a ring that is
+   * rotated per chunk, so that each member takes each position equally often.
    */
-  positionOf(name: string, chunk: number): number {
-    const { length } = this.groups[this.homeOf(name)]!.members;
-    return (this.ranks.get(name)! - turnOf(chunk, length) + length) % length;
+  getPosition(name: string, chunk: number): number {
+    const { length } = this.groups[this.getGroupIndex(name)]!.members;
+    return (this.ranks.get(name)! - ringRotation(chunk, length) + length) % length;
   }
 
-  /** The member at a position of a data centre's order for a chunk. */
-  at(home: number, position: number, chunk: number): WeightMember | undefined {
-    const { members } = this.groups[home]!;
+  /** The member at a position in a group's order for a chunk; undefined past the end. */
+  memberAt(group: number, position: number, chunk: number): WeightMember | undefined {
+    const { members } = this.groups[group]!;
     if (position >= members.length) return undefined;
-    return members[(position + turnOf(chunk, members.length)) % members.length];
+    return members[(position + ringRotation(chunk, members.length)) % members.length];
   }
 
-  /** Data centres in the order in which a chunk visits them: those of the origin's region first. */
+  /** Indexes of `groups` in the order in which a chunk reaches them, the origin's region first. */
   dataCentreOrder(chunk: number): number[] {
     const [first = '', ...others] = this.regions;
     const remote = others.map((_, index) => others[(index + chunk) % others.length]!);
-    return [first, ...remote].flatMap((region) => this.homesIn(region, chunk));
+    return [first, ...remote].flatMap((region) => this.groupsInRegion(region, chunk));
   }
 
-  private homesIn(region: string, chunk: number): number[] {
-    const homes = this.groups.flatMap((group, home) => (group.region === region ? [home] : []));
-    return homes.map((_, index) => homes[(index + chunk) % homes.length]!);
+  private groupsInRegion(region: string, chunk: number): number[] {
+    const indexes = this.groups.flatMap((group, index) => (group.region === region ? [index] : []));
+    return indexes.map((_, offset) => indexes[(offset + chunk) % indexes.length]!);
   }
 
-  private static sorted(digest: string, members: readonly WeightMember[]): WeightMember[] {
+  private static sortMembers(digest: string, members: readonly WeightMember[]): WeightMember[] {
     return members
       .map((member) => ({ member, weight: hash32(`${digest}\n${member.name}`) }))
       .sort((a, b) => a.weight - b.weight || (a.member.name < b.member.name ? -1 : 1))
--- a/packages/decisions/src/weights/transfer.ts
+++ b/packages/decisions/src/weights/transfer.ts
@@ -13,130 +13,139 @@
 export const FetchFault = {
   /** The source is alive but does not hold the chunk yet. */
   notYet: 'notYet',
-  /** The source refused, broke off or did not answer in time. */
+  /** The source refused, closed the connection or did not respond in time. */
   unreachable: 'unreachable',
   /** The bytes do not match the digest. */
   corrupt: 'corrupt',
-  /** Another fetch brought the chunk first. */
+  /** Another fetch delivered the chunk first. */
   superseded: 'superseded',
 } as const;
 
 /** One of the values of {@link FetchFault}. */
 export type FetchFault = (typeof FetchFault)[keyof typeof FetchFault];
 
-/** Limits of a transfer. */
+/** Limits of a tree transfer. */
 export interface TransferLimits {
-  /** Chunks asked for at once. */
+  /** Maximum number of chunks requested at once. */
   readonly window: number;
-  /** Shortest time after which a fetch is overdue, in milliseconds. */
-  readonly minDeadlineMs: number;
-  /** Longest time after which a fetch is overdue, in milliseconds. */
-  readonly maxDeadlineMs: number;
-  /** Time for which a faulty source is avoided, in milliseconds. */
+  /** Minimum time after which a fetch is overdue, in milliseconds. */
+  readonly minTimeoutMs: number;
+  /** Maximum time after which a fetch is overdue, in milliseconds. */
+  readonly maxTimeoutMs: number;
+  /** Time for which an unreachable source is avoided, in milliseconds. */
   readonly avoidMs: number;
 }
 
-/** Limits where nothing else is set. */
-export const transferDefaults: TransferLimits = {
+/** Limits of a tree transfer unless the caller sets others. */
+export const defaultTransferLimits: TransferLimits = {
   window: 32,
-  minDeadlineMs: 2_000,
-  maxDeadlineMs: 10_000,
+  minTimeoutMs: 2_000,
+  maxTimeoutMs: 10_000,
   avoidMs: 30_000,
 };
 
-interface ChunkState {
+/** A chunk that has been requested but is not held yet. */
+interface PendingChunk {
+  /** Fetches in flight, oldest first. */
   readonly active: ChunkFetch[];
-  /** Sources that failed for this chunk, by name. */
-  readonly tried: Set<string>;
-  firstAskedAt: number;
+  /** Names of the sources that failed for this chunk. */
+  readonly failedSources: Set<string>;
+  firstRequestedAt: number;
 }
 
-interface Answers {
-  /** Time of the last answer of any kind. */
-  silentSince: number;
-  /** Fetches that were overdue since then. */
-  late: number;
+/** Responsiveness of a source. */
+interface SourceActivity {
+  /** Time of the last response of any kind. */
+  lastResponseAt: number;
+  /** Fetches that became overdue since then. */
+  overdueFetches: number;
 }
 
-/** Deadline as a multiple of the smoothed time of a fetch. */
-const deadlineFactor = 4;
-/** Longest wait for a chunk at a living source, as a multiple of the smoothed wait for a chunk. */
-const waitFactor = 4;
-const smoothing = 0.1;
-/** Deadlines that a fetch may take from a source that answers other fetches. */
-const patience = 3;
-/** Overdue fetches without a sign after which a source is avoided. */
-const maxLate = 2;
-/** Sources that work on one chunk at once at most. */
-const maxActive = 2;
-
-/** The name under which faults of a source are counted. */
+/** Fetch timeout as a multiple of the smoothed fetch duration. */
+const timeoutFactor = 4;
+/** Maximum wait for a chunk at a responsive source, as a multiple of the smoothed wait. */
+const maxWaitFactor = 4;
+/** Weight of a new sample in the moving averages. */
+const ewmaWeight = 0.1;
+/** Timeouts that a fetch may take from a source that responds to other fetches. */
+const responsiveTimeoutFactor = 3;
+/** Overdue fetches without any response after which a source is avoided. */
+const maxOverdueFetches = 2;
+/** Maximum number of concurrent fetches of one chunk. */
+const maxActivePerChunk = 2;
+
+/** The name of a source, as in logs and fault records. */
 export function sourceName(source: WeightSource): string {
   return source === origin ? origin : source.name;
 }
 
-/** What the handlers of faults do at a transfer. */
-interface FaultCount {
-  wait(source: WeightSource, state: ChunkState, now: number): void;
-  blame(fetch: ChunkFetch, state: ChunkState, now: number): void;
+/** Callbacks by which the fault handlers update a transfer. */
+interface FaultTracker {
+  recordNotYet(source: WeightSource, state: PendingChunk, now: number): void;
+  recordFailure(fetch: ChunkFetch, state: PendingChunk, now: number): void;
 }
 
 type FaultHandler = (
-  transfer: FaultCount,
+  transfer: FaultTracker,
   fetch: ChunkFetch,
-  state: ChunkState,
+  state: PendingChunk,
   now: number,
 ) => void;
 
 const faultHandlers: Readonly<Record<FetchFault, FaultHandler>> = {
-  notYet: (transfer, { source }, state, now) => transfer.wait(source, state, now),
-  unreachable: (transfer, fetch, state, now) => transfer.blame(fetch, state, now),
-  corrupt: (_transfer, { source }, state) => state.tried.add(sourceName(source)),
+  notYet: (transfer, { source }, state, now) => transfer.recordNotYet(source, state, now),
+  unreachable: (transfer, fetch, state, now) => transfer.recordFailure(fetch, state, now),
+  corrupt: (_transfer, { source }, state) => state.failedSources.add(sourceName(source)),
   superseded: () => undefined,
 };
 
-/** What decides the fetches of one version at one member. */
+/** Schedules the chunk fetches of one version at one member. */
 export interface ChunkTransfer {
   readonly isComplete: boolean;
-  start(now: number): ChunkFetch[];
-  hedge(now: number): ChunkFetch[];
-  succeeded(fetch: ChunkFetch, now: number): readonly ChunkFetch[];
-  failed(fetch: ChunkFetch, fault: FetchFault, now: number): void;
+  /** Returns the fetches to start now. */
+  startFetches(now: number): ChunkFetch[];
+  /** Returns the fetches to start in place of or beside overdue ones. */
+  hedgeFetches(now: number): ChunkFetch[];
+  /** Records that a fetch delivered the verified chunk; returns the fetches that it supersedes. */
+  fetchSucceeded(fetch: ChunkFetch, now: number): readonly ChunkFetch[];
+  /** Records that a fetch ended without the chunk. */
+  fetchFailed(fetch: ChunkFetch, fault: FetchFault, now: number): void;
 }
 
 /**
- * The transfer of one version to one member: which chunk to ask from whom, and when to ask another
- * source besides. Pure: the owner runs the fetches and tells how they ended.
+ * The transfer of one version to one member over a fixed source order: selects the source of each
+ * chunk and hedges overdue fetches. Free of I/O: the owner runs the fetches and reports how they
+ * ended.
  */
 export class Transfer implements ChunkTransfer {
   private readonly held: Uint8Array;
 
-  private readonly waiting = new Map<number, ChunkState>();
+  private readonly pending = new Map<number, PendingChunk>();
 
-  private readonly avoided = new Map<string, number>();
+  private readonly avoidedUntil = new Map<string, number>();
 
-  private readonly answers = new Map<string, Answers>();
+  private readonly activity = new Map<string, SourceActivity>();
 
-  /** Chunks whose last fetch has ended without the chunk. */
-  private readonly idle: number[] = [];
+  /** Pending chunks whose fetches have all ended without the chunk. */
+  private readonly idleChunks: number[] = [];
 
   private nextChunk = 0;
 
   private heldCount = 0;
 
-  private typicalMs: number;
+  private smoothedFetchMs: number;
 
-  private typicalWaitMs = 0;
+  private smoothedWaitMs = 0;
 
   constructor(
     readonly chunks: number,
     private readonly self: WeightMember,
     private topology: Topology,
-    private readonly order: SourceOrder,
-    private readonly limits: TransferLimits = transferDefaults,
+    private readonly sourceOrder: SourceOrder,
+    private readonly limits: TransferLimits = defaultTransferLimits,
   ) {
     this.held = new Uint8Array(chunks);
-    this.typicalMs = limits.minDeadlineMs / deadlineFactor;
+    this.smoothedFetchMs = limits.minTimeoutMs / timeoutFactor;
   }
 
   get isComplete(): boolean {
@@ -147,143 +156,144 @@
     return this.chunks - this.heldCount;
   }
 
-  /** Time after which a silent source is given up, in milliseconds. */
-  get deadlineMs(): number {
-    const { minDeadlineMs, maxDeadlineMs } = this.limits;
-    return Math.min(maxDeadlineMs, Math.max(minDeadlineMs, this.typicalMs * deadlineFactor));
+  /** Time after which a fetch from a silent source is overdue, in milliseconds. */
+  get timeoutMs(): number {
+    const { minTimeoutMs, maxTimeoutMs } = this.limits;
+    return Math.min(maxTimeoutMs, Math.max(minTimeoutMs, this.smoothedFetchMs * timeoutFactor));
   }
 
-  /** Members came or left; running fetches go on. */
-  regroup(topology: Topology): void {
+  /** Applies a change of members; fetches in flight continue. */
+  updateTopology(topology: Topology): void {
     this.topology = topology;
   }
 
-  /** A chunk that is held already when the transfer starts. */
-  has(chunk: number): void {
-    this.mark(chunk);
+  /** Marks a chunk as held before the transfer starts. */
+  markHeld(chunk: number): void {
+    this.setHeld(chunk);
   }
 
-  /** The fetches to start now. */
-  start(now: number): ChunkFetch[] {
+  startFetches(now: number): ChunkFetch[] {
     const fetches: ChunkFetch[] = [];
-    this.idle.splice(0).forEach((chunk) => {
-      const state = this.waiting.get(chunk);
-      if (state?.active.length === 0) this.ask(chunk, state, now, fetches);
+    this.idleChunks.splice(0).forEach((chunk) => {
+      const state = this.pending.get(chunk);
+      if (state?.active.length === 0) this.startFetch(chunk, state, now, fetches);
     });
-    while (this.waiting.size < this.limits.window && this.nextChunk < this.chunks) {
+    while (this.pending.size < this.limits.window && this.nextChunk < this.chunks) {
       const chunk = this.nextChunk;
       this.nextChunk += 1;
       if (!this.held[chunk]) {
-        const state = { active: [], tried: new Set<string>(), firstAskedAt: now };
-        this.waiting.set(chunk, state);
-        this.ask(chunk, state, now, fetches);
+        const state = { active: [], failedSources: new Set<string>(), firstRequestedAt: now };
+        this.pending.set(chunk, state);
+        this.startFetch(chunk, state, now, fetches);
       }
     }
     return fetches;
   }
 
-  /** Fetches to start beside overdue ones. The silent source is avoided from now on. */
-  hedge(now: number): ChunkFetch[] {
+  /** Returns fetches to start beside overdue ones, whose sources are counted as silent. */
+  hedgeFetches(now: number): ChunkFetch[] {
     const fetches: ChunkFetch[] = [];
-    this.waiting.forEach((state, chunk) => {
+    this.pending.forEach((state, chunk) => {
       const latest = state.active[state.active.length - 1];
       if (!latest || latest.source === origin || !this.isOverdue(latest, now)) return;
-      // The oldest may be lost for good: its place goes to a new one.
-      if (state.active.length >= maxActive) state.active.shift();
-      this.suspect(latest, state, now);
-      this.ask(chunk, state, now, fetches);
+      // The oldest fetch may never end; stop tracking it to make room for a new one.
+      if (state.active.length >= maxActivePerChunk) state.active.shift();
+      this.recordOverdue(latest, state, now);
+      this.startFetch(chunk, state, now, fetches);
     });
     return fetches;
   }
 
-  /** A fetch brought the verified chunk; returns the fetches that are now useless. */
-  succeeded(fetch: ChunkFetch, now: number): readonly ChunkFetch[] {
-    const state = this.waiting.get(fetch.chunk);
-    this.sign(fetch.source, now);
-    this.avoided.delete(sourceName(fetch.source));
+  fetchSucceeded(fetch: ChunkFetch, now: number): readonly ChunkFetch[] {
+    const state = this.pending.get(fetch.chunk);
+    this.recordResponse(fetch.source, now);
+    this.avoidedUntil.delete(sourceName(fetch.source));
     if (!state) return [];
-    const took = now - Math.max(fetch.startedAt, 0);
-    this.typicalMs += (took - this.typicalMs) * smoothing;
-    this.typicalWaitMs += (now - state.firstAskedAt - this.typicalWaitMs) * smoothing;
-    this.waiting.delete(fetch.chunk);
-    this.mark(fetch.chunk);
+    const fetchMs = now - Math.max(fetch.startedAt, 0);
+    this.smoothedFetchMs += (fetchMs - this.smoothedFetchMs) * ewmaWeight;
+    this.smoothedWaitMs += (now - state.firstRequestedAt - this.smoothedWaitMs) * ewmaWeight;
+    this.pending.delete(fetch.chunk);
+    this.setHeld(fetch.chunk);
     return state.active.filter((active) => active !== fetch);
   }
 
-  /** A fetch ended without the chunk. */
-  failed(fetch: ChunkFetch, fault: FetchFault, now: number): void {
-    const state = this.waiting.get(fetch.chunk);
+  fetchFailed(fetch: ChunkFetch, fault: FetchFault, now: number): void {
+    const state = this.pending.get(fetch.chunk);
     if (!state) return;
     const index = state.active.indexOf(fetch);
     if (index >= 0) state.active.splice(index, 1);
-    if (state.active.length === 0) this.idle.push(fetch.chunk);
+    if (state.active.length === 0) this.idleChunks.push(fetch.chunk);
     faultHandlers[fault](this, fetch, state, now);
   }
 
-  /** The source answered, though without the chunk. */
-  sign(source: WeightSource, now: number): void {
+  /** Records a response of any kind from a source. */
+  recordResponse(source: WeightSource, now: number): void {
     const name = sourceName(source);
-    const known = this.answers.get(name);
-    if (known) Object.assign(known, { silentSince: now, late: 0 });
-    else this.answers.set(name, { silentSince: now, late: 0 });
+    const known = this.activity.get(name);
+    if (known) Object.assign(known, { lastResponseAt: now, overdueFetches: 0 });
+    else this.activity.set(name, { lastResponseAt: now, overdueFetches: 0 });
   }
 
   /**
-   * The source is alive but has not got the chunk. A chunk that takes much longer than others is
-   * asked for elsewhere: the source may have another view of the members, or not fetch at all.
+   * Records that a live source does not hold the chunk yet. A chunk that takes much longer than
+   * others is requested elsewhere: the source may have a different member list, or may not be
+   * fetching at all.
    */
-  wait(source: WeightSource, state: ChunkState, now: number): void {
-    this.sign(source, now);
-    const limit = Math.max(this.limits.maxDeadlineMs, this.typicalWaitMs * waitFactor);
-    if (now - state.firstAskedAt > limit) state.tried.add(sourceName(source));
+  recordNotYet(source: WeightSource, state: PendingChunk, now: number): void {
+    this.recordResponse(source, now);
+    const maxWaitMs = Math.max(this.limits.maxTimeoutMs, this.smoothedWaitMs * maxWaitFactor);
+    if (now - state.firstRequestedAt > maxWaitMs) state.failedSources.add(sourceName(source));
   }
 
-  /** Counts a fault against the source: it is asked last for this chunk, and avoided for others. */
-  blame({ source }: ChunkFetch, state: ChunkState, now: number): void {
+  /** Records an unreachable source: it is tried last for this chunk and avoided for others. */
+  recordFailure({ source }: ChunkFetch, state: PendingChunk, now: number): void {
     const name = sourceName(source);
-    state.tried.add(name);
-    if (source !== origin) this.avoided.set(name, now + this.limits.avoidMs);
+    state.failedSources.add(name);
+    if (source !== origin) this.avoidedUntil.set(name, now + this.limits.avoidMs);
   }
 
-  /** One late chunk may be this member's own full link; several without a sign are the source's. */
-  private suspect(fetch: ChunkFetch, state: ChunkState, now: number): void {
+  /**
+   * A single overdue chunk may be due to this member's own saturated link; several without any
+   * response are due to the source.
+   */
+  private recordOverdue(fetch: ChunkFetch, state: PendingChunk, now: number): void {
     const name = sourceName(fetch.source);
-    state.tried.add(name);
-    const known = this.answers.get(name) ?? { silentSince: 0, late: 0 };
-    this.answers.set(name, known);
-    if (known.silentSince > fetch.startedAt) return;
-    known.late += 1;
-    if (known.late >= maxLate) this.blame(fetch, state, now);
+    state.failedSources.add(name);
+    const known = this.activity.get(name) ?? { lastResponseAt: 0, overdueFetches: 0 };
+    this.activity.set(name, known);
+    if (known.lastResponseAt > fetch.startedAt) return;
+    known.overdueFetches += 1;
+    if (known.overdueFetches >= maxOverdueFetches) this.recordFailure(fetch, state, now);
   }
 
-  /** A source that answers other fetches meanwhile gets longer, but not for ever. */
+  /** A source that responds to other fetches meanwhile gets a longer, still bounded, timeout. */
   private isOverdue({ source, startedAt }: ChunkFetch, now: number): boolean {
-    if (now - startedAt < this.deadlineMs) return false;
-    if (now - startedAt >= this.deadlineMs * patience) return true;
-    const lastSign = this.answers.get(sourceName(source))?.silentSince ?? 0;
-    return now - lastSign >= this.deadlineMs;
+    if (now - startedAt < this.timeoutMs) return false;
+    if (now - startedAt >= this.timeoutMs * responsiveTimeoutFactor) return true;
+    const lastResponseAt = this.activity.get(sourceName(source))?.lastResponseAt ?? 0;
+    return now - lastResponseAt >= this.timeoutMs;
   }
 
-  private ask(chunk: number, state: ChunkState, now: number, fetches: ChunkFetch[]): void {
-    const source = this.choose(chunk, state, now);
+  private startFetch(chunk: number, state: PendingChunk, now: number, fetches: ChunkFetch[]): void {
+    const source = this.chooseSource(chunk, state, now);
     if (state.active.some((active) => active.source === source)) return;
     const fetch = { chunk, source, startedAt: now };
     state.active.push(fetch);
     fetches.push(fetch);
   }
 
-  private choose(chunk: number, state: ChunkState, now: number): WeightSource {
-    for (const source of this.order(this.topology, this.self, chunk)) {
+  private chooseSource(chunk: number, state: PendingChunk, now: number): WeightSource {
+    for (const source of this.sourceOrder(this.topology, this.self, chunk)) {
       const name = sourceName(source);
-      const avoided = (this.avoided.get(name) ?? 0) > now;
-      if (!avoided && !state.tried.has(name)) return source;
+      const isAvoided = (this.avoidedUntil.get(name) ?? 0) > now;
+      if (!isAvoided && !state.failedSources.has(name)) return source;
     }
-    // All have failed: begin again.
-    state.tried.clear();
+    // Every source has failed: start over.
+    state.failedSources.clear();
     return origin;
   }
 
-  private mark(chunk: number): void {
+  private setHeld(chunk: number): void {
     if (this.held[chunk]) return;
     this.held[chunk] = 1;
     this.heldCount += 1;
--- a/packages/entry/src/callerServer.ts
+++ b/packages/entry/src/callerServer.ts
@@ -8,7 +8,7 @@
   operationEnded,
 } from '@laburnumstream/common';
 import type { Clock, Log, Metrics } from '@laburnumstream/common';
-import { ServiceKind, isIn, serviceOf } from '@laburnumstream/decisions';
+import { ServiceKind, isDataCentreInService, getService } from '@laburnumstream/decisions';
 import type { Configuration, ServiceDefinition } from '@laburnumstream/decisions';
 import {
   bearerToken,
@@ -153,7 +153,10 @@
   private sendReady(response: ServerResponse): void {
     const { dataCentre } = this.settings;
     const configuration = this.configuration();
-    const ready = !this.draining && configuration.revision > 0 && isIn(configuration, dataCentre);
+    const ready =
+      !this.draining &&
+      configuration.revision > 0 &&
+      isDataCentreInService(configuration, dataCentre);
     sendJson(response, ready ? 200 : 503, { ready, revision: configuration.revision });
   }
 
@@ -165,7 +168,7 @@
     const [, service = '', kind = '', path = '/'] = servicePath.exec(pathname) ?? [];
     if (!service) throw new NotFound(`There is no ${pathname}.`);
     const workspace = this.workspaceOf(request);
-    const definition = serviceOf(this.configuration(), service);
+    const definition = getService(this.configuration(), service);
     if ((kind === 'completions') !== (definition.kind === ServiceKind.model)) {
       throw new InvalidInput(`The service ${service} is not used under ${kind}.`);
     }
--- a/packages/entry/src/changes.ts
+++ b/packages/entry/src/changes.ts
@@ -1,5 +1,5 @@
 import { Conflict, InvalidInput, NotFound } from '@laburnumstream/common';
-import { DataCentreState, mergePatch, stoppedRelease } from '@laburnumstream/decisions';
+import { DataCentreState, mergePatch, rollBackRelease } from '@laburnumstream/decisions';
 import type {
   Change,
   Configuration,
@@ -128,7 +128,7 @@
     action: `stop roll-out of ${model}`,
     reason: by.reason,
     apply: (before) => {
-      const release = stoppedRelease(before.releases[model], report);
+      const release = rollBackRelease(before.releases[model], report);
       if (!release) throw new Conflict(`The roll-out of ${model} has ended or changed already.`);
       return { ...before, releases: { ...before.releases, [model]: release } };
     },
--- a/packages/entry/src/configurationEditor.ts
+++ b/packages/entry/src/configurationEditor.ts
@@ -8,13 +8,13 @@
 } from '@laburnumstream/common';
 import type { Clock, KeyValueStore } from '@laburnumstream/common';
 import {
-  checkSize,
+  checkDocumentSize,
   configurationKey,
-  duePage,
-  editOf,
-  pageKey,
+  nextAuditPage,
+  computeEdit,
+  auditPageKey,
   parseConfiguration,
-  withoutPage,
+  withoutPagedRecords,
 } from '@laburnumstream/decisions';
 import type { Change, Configuration, Edit } from '@laburnumstream/decisions';
 import { AuditTrail } from './auditTrail.js';
@@ -86,8 +86,8 @@
       before: this.keeper.configuration,
     }));
     const base = change.ifRevision ?? before.revision;
-    const edit = editOf(change, { before, base, changeId: '', at: this.clock.wall() });
-    checkSize(JSON.stringify(edit.after));
+    const edit = computeEdit(change, { before, base, changeId: '', at: this.clock.wall() });
+    checkDocumentSize(JSON.stringify(edit.after));
     return { ...edit, before };
   }
 
@@ -109,10 +109,10 @@
       if (known) return known;
       base ??= before.revision;
       const at = this.clock.wall();
-      const edit = editOf(change, { before, base, changeId, at });
+      const edit = computeEdit(change, { before, base, changeId, at });
       const after = await orNotAccepted(this.movePage(edit.after, before, signal));
       const text = JSON.stringify(after);
-      checkSize(text);
+      checkDocumentSize(text);
       if (await this.write(text, after, ifRevision, signal)) {
         this.keeper.adopt(text);
         return { revision: after.revision, changeId };
@@ -145,14 +145,14 @@
     before: Configuration,
     signal: AbortSignal,
   ): Promise<Configuration> {
-    const page = duePage(before);
+    const page = nextAuditPage(before);
     if (!page) return after;
     try {
-      await this.store.put(pageKey(page), JSON.stringify(page), { ifRevision: 0 }, signal);
+      await this.store.put(auditPageKey(page), JSON.stringify(page), { ifRevision: 0 }, signal);
     } catch (error) {
       if (!(error instanceof Conflict)) throw error;
     }
-    return withoutPage(after, page);
+    return withoutPagedRecords(after, page);
   }
 
   /** Writes until it is known whether the document is stored. */
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -14,7 +14,7 @@
 import type { EntrySettings, LoggerFactory } from '@laburnumstream/runtime';
 import { Unavailable } from '@laburnumstream/common';
 import type { Log } from '@laburnumstream/common';
-import { isIn } from '@laburnumstream/decisions';
+import { isDataCentreInService } from '@laburnumstream/decisions';
 import { LinkPool, RunSessions, Secrets, serveInternal } from '@laburnumstream/links';
 import type { ConnectRouter, InternalServer } from '@laburnumstream/links';
 import {
@@ -327,7 +327,7 @@
   private async followStates(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const { configuration } = this.keeper;
-      this.directory.refresh((dataCentre) => isIn(configuration, dataCentre));
+      this.directory.refresh((dataCentre) => isDataCentreInService(configuration, dataCentre));
       await this.clock.sleep(this.settings.options.exchangeMs, signal).catch(() => undefined);
     }
   }
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -3,9 +3,9 @@
 import {
   DataCentreState,
   checkPermission,
-  effectsOf,
+  computeEffects,
   manifestDigest,
-  redacted,
+  redactTokens,
 } from '@laburnumstream/decisions';
 import type { Change } from '@laburnumstream/decisions';
 import { sha256 } from '@laburnumstream/runtime';
@@ -83,7 +83,7 @@
       ...change,
       ...named,
       // The stored document may know better than the one in force here what the author may do.
-      permit: (document, changes) =>
+      authorize: (document, changes) =>
         checkPermission(document, operatorIn(document, change.author), changes),
     };
     if (dryRun) return this.preview(permitted, signal);
@@ -98,12 +98,12 @@
       dataCentre,
       service,
     }));
-    const effects = effectsOf(before, after, places, this.clock.wall());
+    const effects = computeEffects(before, after, places, this.clock.wall());
     return {
       accepted: false,
       dryRun: true,
       revision: before.revision,
-      changes: redacted(changes),
+      changes: redactTokens(changes),
       effects,
     };
   }
--- a/packages/entry/src/requestDispatcher.ts
+++ b/packages/entry/src/requestDispatcher.ts
@@ -1,6 +1,12 @@
 import { LinkLost, Overloaded, Unavailable, toFailure } from '@laburnumstream/common';
 import type { Failure, Log, Metrics } from '@laburnumstream/common';
-import { Recovery, RetryBudget, homeOf, isIn, policyFor } from '@laburnumstream/decisions';
+import {
+  Recovery,
+  RetryBudget,
+  homeOf,
+  isDataCentreInService,
+  policyFor,
+} from '@laburnumstream/decisions';
 import type { Configuration } from '@laburnumstream/decisions';
 import type { EntrySettings } from '@laburnumstream/runtime';
 import type { AttemptReader } from './attempt.js';
@@ -104,7 +110,8 @@
   }
 
   private homeOf(key: string, { request, tried, partial }: Course): string | undefined {
-    const isOpen = (dataCentre: string): boolean => isIn(this.configuration(), dataCentre);
+    const isOpen = (dataCentre: string): boolean =>
+      isDataCentreInService(this.configuration(), dataCentre);
     const { weights } = partial;
     const candidates = this.directory
       .candidates(request.service, isOpen)
--- a/packages/entry/src/rollOutGuard.ts
+++ b/packages/entry/src/rollOutGuard.ts
@@ -1,6 +1,6 @@
 import { toFailure } from '@laburnumstream/common';
 import type { Clock, Log } from '@laburnumstream/common';
-import { unfitRelease } from '@laburnumstream/decisions';
+import { findUnfitRelease } from '@laburnumstream/decisions';
 import type { Configuration, UnfitReport } from '@laburnumstream/decisions';
 import type { LiveMember } from './directory.js';
 import { stopRollOut } from './changes.js';
@@ -39,7 +39,7 @@
   }
 
   private async check(signal: AbortSignal): Promise<void> {
-    const found = unfitRelease(this.configuration(), unfitReports(this.members()));
+    const found = findUnfitRelease(this.configuration(), unfitReports(this.members()));
     if (!found) return;
     const { model, report } = found;
     const reason = `${report.instance} ${report.reason}`;
--- a/packages/entry/src/rollOutProgress.ts
+++ b/packages/entry/src/rollOutProgress.ts
@@ -1,5 +1,5 @@
 import { NotFound } from '@laburnumstream/common';
-import { timeLeftMs } from '@laburnumstream/decisions';
+import { estimateTimeLeftMs } from '@laburnumstream/decisions';
 import type { Configuration, Release } from '@laburnumstream/decisions';
 import type { LiveMember } from './directory.js';
 
@@ -43,7 +43,7 @@
     return [name, countOf(there, release.digest)] as const;
   });
   const { endpoints, done } = countOf(serving, release.digest);
-  const left = timeLeftMs(done, endpoints, release.startedAt, wallMs);
+  const left = estimateTimeLeftMs(done, endpoints, release.startedAt, wallMs);
   return {
     model,
     ...release,
--- a/packages/entry/src/router.ts
+++ b/packages/entry/src/router.ts
@@ -1,6 +1,6 @@
 import { hash32 } from '@laburnumstream/common';
 import type { Clock, Random } from '@laburnumstream/common';
-import { RoutingTable, isIn, makeTarget } from '@laburnumstream/decisions';
+import { RoutingTable, isDataCentreInService, makeTarget } from '@laburnumstream/decisions';
 import type { Candidate, Configuration, Target } from '@laburnumstream/decisions';
 import type { EndpointLoad } from '@laburnumstream/protocol';
 import type { EntrySettings } from '@laburnumstream/runtime';
@@ -105,7 +105,9 @@
 
   private candidatesOf(service: string): Candidate[] {
     const configuration = this.configuration();
-    return this.directory.candidates(service, (dataCentre) => isIn(configuration, dataCentre));
+    return this.directory.candidates(service, (dataCentre) =>
+      isDataCentreInService(configuration, dataCentre),
+    );
   }
 
   private index(candidates: readonly Candidate[]): RoutingTable {
--- a/packages/sidecar/src/versionFetch.ts
+++ b/packages/sidecar/src/versionFetch.ts
@@ -4,7 +4,7 @@
 import {
   FetchFault,
   HolderTransfer,
-  holderDefaults,
+  defaultHolderLimits,
   origin,
   sourceName,
 } from '@laburnumstream/decisions';
@@ -65,7 +65,7 @@
   ) {
     const { random, clock } = services;
     this.held = new HeldVersion(manifest);
-    const limits = { ...holderDefaults, originChunkMs: originPieceMs };
+    const limits = { ...defaultHolderLimits, originChunkMs: originPieceMs };
     const pieces = manifest.digests.length;
     this.transfer = new HolderTransfer(pieces, self, random, clock.now(), limits);
   }
@@ -81,33 +81,33 @@
 
   /** Members of other regions to tell that a piece is here. */
   waitingElsewhere(piece: number): WeightMember[] {
-    return this.transfer.waitingElsewhere(piece);
+    return this.transfer.remoteReceivers(piece);
   }
 
   /** Members of other regions to ask what they hold. */
   askedElsewhere(): WeightMember[] {
-    return this.transfer.askedElsewhere();
+    return this.transfer.remoteSources();
   }
 
   regroup(group: FetchGroup): void {
     this.group = group;
-    this.transfer.regroup(group.members);
+    this.transfer.updateMembers(group.members);
   }
 
   /** Fetches at once. */
   setWindow(window: number): void {
-    this.transfer.window = window;
+    this.transfer.maxMemberFetches = window;
   }
 
   /** Another agent serves this version, so it holds all pieces. */
   learnWhole(name: string): void {
     const { transfer, services } = this;
-    transfer.learn(name, new Uint8Array(transfer.chunks).fill(1), 0, services.clock.now());
+    transfer.updateHolder(name, new Uint8Array(transfer.chunks).fill(1), 0, services.clock.now());
   }
 
   /** Another agent said what it holds. */
   learn(name: string, bitmap: Uint8Array, giving: number): void {
-    this.transfer.learn(
+    this.transfer.updateHolder(
       name,
       flagsOf(bitmap, this.transfer.chunks),
       giving,
@@ -120,7 +120,7 @@
   adopt(piece: number, bytes: Uint8Array): boolean {
     if (digestOf(bytes) !== this.held.manifest.digests[piece]) return false;
     this.held.put(piece, bytes);
-    this.transfer.has(piece);
+    this.transfer.markHeld(piece);
     return true;
   }
 
@@ -130,7 +130,7 @@
     this.signal = AbortSignal.any([signal, ended.signal]);
     try {
       while (!this.isComplete) {
-        this.begin(this.transfer.hedge(this.services.clock.now()));
+        this.begin(this.transfer.hedgeFetches(this.services.clock.now()));
         this.running.forEach((abort, fetch) => {
           if (!this.transfer.isRunning(fetch)) abort.abort();
         });
@@ -143,7 +143,7 @@
   }
 
   private launch(): void {
-    if (!this.signal.aborted) this.begin(this.transfer.start(this.services.clock.now()));
+    if (!this.signal.aborted) this.begin(this.transfer.startFetches(this.services.clock.now()));
   }
 
   private begin(fetches: readonly ChunkFetch[]): void {
@@ -163,7 +163,7 @@
     try {
       const bytes = await this.read(fetch, signal);
       if (!this.adopt(piece, bytes)) throw new Corrupted(`Piece ${piece} has another digest.`);
-      this.transfer.succeeded(fetch, clock.now());
+      this.transfer.fetchSucceeded(fetch, clock.now());
       metrics.count(source === origin ? 'pieces_from_origin' : 'pieces_from_members');
       log.debug('Piece came.', {
         piece,
@@ -178,7 +178,7 @@
       metrics.count(`piece_faults_${fault}`);
       const from = sourceName(source);
       log.debug('Piece not fetched.', { piece, from, fault, reason: failure.message });
-      this.transfer.failed(fetch, fault, clock.now());
+      this.transfer.fetchFailed(fetch, fault, clock.now());
     }
   }
 
--- a/packages/sidecar/src/weightKeeper.ts
+++ b/packages/sidecar/src/weightKeeper.ts
@@ -1,6 +1,6 @@
 import { Unavailable, toFailure } from '@laburnumstream/common';
 import type { Chart, Clock, Log, Metrics } from '@laburnumstream/common';
-import { isWorthFinishing, switchDelayMsOf, switchPlace } from '@laburnumstream/decisions';
+import { isWorthFinishing, computeSwitchDelayMs, switchPosition } from '@laburnumstream/decisions';
 import { Lifecycle } from '@laburnumstream/runtime';
 import type { Notifier } from '@laburnumstream/runtime';
 import { EngineStaging } from './engineStaging.js';
@@ -226,11 +226,11 @@
   /** Time until the engine is to switch to a version, in milliseconds. */
   private switchDelayMs(version: number): number {
     const { view } = this;
-    return switchDelayMsOf({
+    return computeSwitchDelayMs({
       namedMsAgo: view.namedMsAgo(version),
       outdatedMs: view.outdatedMs(this.servedVersion),
       graceMs: this.graceMs,
-      place: switchPlace(view.self, version, view.members),
+      position: switchPosition(view.self, version, view.members),
     });
   }
 
