--- a/packages/decisions/src/configuration/audit.ts
+++ b/packages/decisions/src/configuration/audit.ts
@@ -1,4 +1,4 @@
-import { allItemsPath } from './differences.js';
+import { allItemsPath } from './diff.js';
 import { configurationKey } from './model.js';
 import type { AuditRecord, Configuration, ItemChange } from './model.js';
 
--- a/packages/decisions/src/configuration/edit.ts
+++ b/packages/decisions/src/configuration/edit.ts
@@ -1,6 +1,6 @@
 import { Conflict, InvalidInput } from '@laburnumstream/common';
 import { truncateChanges } from './audit.js';
-import { diffConfigurations, overlappingPaths, redactTokens } from './differences.js';
+import { diffConfigurations, overlappingPaths, redactTokens } from './diff.js';
 import type { AuditRecord, Configuration, ItemChange } from './model.js';
 import { checkLockout } from './permissions.js';
 import { checkConfiguration } from './schema.js';
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -3,7 +3,7 @@
 export * from './answer.js';
 export * from './claims.js';
 export * from './configuration/audit.js';
-export * from './configuration/differences.js';
+export * from './configuration/diff.js';
 export * from './configuration/document.js';
 export * from './configuration/edit.js';
 export * from './configuration/effects.js';
--- a/packages/decisions/src/weights/index.ts
+++ b/packages/decisions/src/weights/index.ts
@@ -1,4 +1,4 @@
-/** Distribution of weights: who fetches which chunk from whom. */
+/** Distribution of weights: the sources of each chunk, and the order of switches. */
 export * from './holderTransfer.js';
 export * from './sources.js';
 export * from './swarm.js';
