--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -14,7 +14,7 @@
 import type { EntrySettings, LoggerFactory } from '@laburnumstream/runtime';
 import { Unavailable } from '@laburnumstream/common';
 import type { Log } from '@laburnumstream/common';
-import { isIn } from '@laburnumstream/decisions';
+import { isDataCentreInService } from '@laburnumstream/decisions';
 import { LinkPool, RunSessions, Secrets, serveInternal } from '@laburnumstream/links';
 import type { ConnectRouter, InternalServer } from '@laburnumstream/links';
 import {
@@ -332,7 +332,7 @@
   private async followDataCentreStates(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const { configuration } = this.replica;
-      this.directory.updateRamps((dataCentre) => isIn(configuration, dataCentre));
+      this.directory.updateRamps((dataCentre) => isDataCentreInService(configuration, dataCentre));
       await this.clock.sleep(this.settings.options.exchangeMs, signal).catch(() => undefined);
     }
   }
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -3,9 +3,9 @@
 import {
   DataCentreState,
   checkPermission,
-  effectsOf,
+  computeEffects,
   manifestDigest,
-  redacted,
+  redactTokens,
 } from '@laburnumstream/decisions';
 import type { Change } from '@laburnumstream/decisions';
 import { sha256 } from '@laburnumstream/runtime';
@@ -86,7 +86,7 @@
       ...change,
       ...options,
       // Checked against the stored document, which may be newer than the one in force here.
-      permit: (document, changes) =>
+      authorize: (document, changes) =>
         checkPermission(document, getOperator(document, change.author), changes),
     };
     if (dryRun) return this.preview(checkedChange, signal);
@@ -101,12 +101,12 @@
       dataCentre,
       service,
     }));
-    const effects = effectsOf(before, after, places, this.clock.wall());
+    const effects = computeEffects(before, after, places, this.clock.wall());
     return {
       accepted: false,
       dryRun: true,
       revision: before.revision,
-      changes: redacted(changes),
+      changes: redactTokens(changes),
       effects,
     };
   }
--- a/packages/entry/src/rollOutGuard.ts
+++ b/packages/entry/src/rollOutGuard.ts
@@ -1,6 +1,6 @@
 import { toFailure } from '@laburnumstream/common';
 import type { Clock, Log } from '@laburnumstream/common';
-import { unfitRelease } from '@laburnumstream/decisions';
+import { findUnfitRelease } from '@laburnumstream/decisions';
 import type { Configuration, UnfitReport } from '@laburnumstream/decisions';
 import type { LiveMember } from './memberDirectory.js';
 import { stopRollOut } from './changes.js';
@@ -40,7 +40,7 @@
   }
 
   private async stopUnfitRollOut(signal: AbortSignal): Promise<void> {
-    const unfit = unfitRelease(this.configuration(), collectUnfitReports(this.members()));
+    const unfit = findUnfitRelease(this.configuration(), collectUnfitReports(this.members()));
     if (!unfit) return;
     const { model, report } = unfit;
     const reason = `${report.instance} ${report.reason}`;
--- a/packages/entry/src/rollOutProgress.ts
+++ b/packages/entry/src/rollOutProgress.ts
@@ -1,5 +1,5 @@
 import { NotFound } from '@laburnumstream/common';
-import { timeLeftMs } from '@laburnumstream/decisions';
+import { estimateTimeLeftMs } from '@laburnumstream/decisions';
 import type { Configuration, Release } from '@laburnumstream/decisions';
 import type { LiveMember } from './memberDirectory.js';
 
@@ -45,7 +45,7 @@
     return [name, countServing(local, release.digest)] as const;
   });
   const { endpoints, done } = countServing(affected, release.digest);
-  const remainingMs = timeLeftMs(done, endpoints, release.startedAt, wallMs);
+  const remainingMs = estimateTimeLeftMs(done, endpoints, release.startedAt, wallMs);
   return {
     model,
     ...release,
--- a/packages/sidecar/src/versionFetch.ts
+++ b/packages/sidecar/src/versionFetch.ts
@@ -4,7 +4,7 @@
 import {
   FetchFault,
   HolderTransfer,
-  holderDefaults,
+  defaultHolderLimits,
   origin,
   sourceName,
 } from '@laburnumstream/decisions';
@@ -70,7 +70,7 @@
   ) {
     const { random, clock } = dependencies;
     this.held = new HeldVersion(manifest);
-    const limits = { ...holderDefaults, originChunkMs: originPieceMs };
+    const limits = { ...defaultHolderLimits, originChunkMs: originPieceMs };
     const pieces = manifest.digests.length;
     this.transfer = new HolderTransfer(pieces, self, random, clock.now(), limits);
   }
@@ -86,33 +86,38 @@
 
   /** Members of other regions that wait for this one to announce a piece. */
   remoteReceivers(piece: number): WeightMember[] {
-    return this.transfer.waitingElsewhere(piece);
+    return this.transfer.remoteReceivers(piece);
   }
 
   /** Members of other regions from which this one fetches missing pieces. */
   remoteSources(): WeightMember[] {
-    return this.transfer.askedElsewhere();
+    return this.transfer.remoteSources();
   }
 
   updateSources(sources: FetchSources): void {
     this.sources = sources;
-    this.transfer.regroup(sources.members);
+    this.transfer.updateMembers(sources.members);
   }
 
   /** Sets the maximum number of concurrent fetches from members. */
   setWindow(window: number): void {
-    this.transfer.window = window;
+    this.transfer.maxMemberFetches = window;
   }
 
   /** Records that a member holds all pieces, because it serves this version. */
   markComplete(name: string): void {
     const { transfer, dependencies } = this;
-    transfer.learn(name, new Uint8Array(transfer.chunks).fill(1), 0, dependencies.clock.now());
+    transfer.updateHolder(
+      name,
+      new Uint8Array(transfer.chunks).fill(1),
+      0,
+      dependencies.clock.now(),
+    );
   }
 
   /** Records which pieces a member holds and how many transfers it is sending. */
   updateHeldPieces(name: string, bitmap: Uint8Array, sending: number): void {
-    this.transfer.learn(
+    this.transfer.updateHolder(
       name,
       bitmapToFlags(bitmap, this.transfer.chunks),
       sending,
@@ -125,7 +130,7 @@
   addIfValid(piece: number, bytes: Uint8Array): boolean {
     if (sha256Hex(bytes) !== this.held.manifest.digests[piece]) return false;
     this.held.add(piece, bytes);
-    this.transfer.has(piece);
+    this.transfer.markHeld(piece);
     return true;
   }
 
@@ -135,7 +140,7 @@
     this.signal = AbortSignal.any([signal, ended.signal]);
     try {
       while (!this.isComplete) {
-        this.runFetches(this.transfer.hedge(this.dependencies.clock.now()));
+        this.runFetches(this.transfer.hedgeFetches(this.dependencies.clock.now()));
         this.running.forEach((abort, fetch) => {
           if (!this.transfer.isRunning(fetch)) abort.abort();
         });
@@ -148,7 +153,8 @@
   }
 
   private startFetches(): void {
-    if (!this.signal.aborted) this.runFetches(this.transfer.start(this.dependencies.clock.now()));
+    if (!this.signal.aborted)
+      this.runFetches(this.transfer.startFetches(this.dependencies.clock.now()));
   }
 
   private runFetches(fetches: readonly ChunkFetch[]): void {
@@ -169,7 +175,7 @@
       const bytes = await this.readPiece(fetch, signal);
       if (!this.addIfValid(piece, bytes))
         throw new Corrupted(`The digest of piece ${piece} does not match.`);
-      this.transfer.succeeded(fetch, clock.now());
+      this.transfer.fetchSucceeded(fetch, clock.now());
       metrics.count(source === origin ? 'pieces_from_origin' : 'pieces_from_members');
       log.debug('Piece received.', {
         piece,
@@ -184,7 +190,7 @@
       metrics.count(`piece_faults_${fault}`);
       const from = sourceName(source);
       log.debug('Piece not fetched.', { piece, from, fault, reason: failure.message });
-      this.transfer.failed(fetch, fault, clock.now());
+      this.transfer.fetchFailed(fetch, fault, clock.now());
     }
   }
 
