--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -48,8 +48,8 @@
   {
     name: 'reconnection after a lost link',
     file: 'packages/decisions/dist/recovery.js',
-    find: 'const mostReconnects = 2;',
-    replace: 'const mostReconnects = 0;',
+    find: 'const maxReconnects = 2;',
+    replace: 'const maxReconnects = 0;',
     test: 'Whole answers: cut connection',
   },
   {
--- a/features/steps/membership.steps.ts
+++ b/features/steps/membership.steps.ts
@@ -87,7 +87,7 @@
   'the process of the view stands still for {int} ms',
   function pause(this: MembershipWorld, ms: number) {
     this.memberNow += ms;
-    this.memberView.skipPause(ms);
+    this.memberView.compensatePause(ms);
     this.memberView.sweep(this.memberNow);
   },
 );
--- a/packages/decisions/src/answer.ts
+++ b/packages/decisions/src/answer.ts
@@ -2,17 +2,17 @@
 import type { Token } from '@laburnumstream/common';
 import type { Sha256 } from './manifest.js';
 
-/** Digest of a whole answer, or of its part from one token on; sent with the end mark. */
+/** Digest of a completion's tokens, all of them or from one token on; sent with its end frame. */
 export function tokensDigest(texts: readonly string[], sha256: Sha256): string {
   return sha256(texts.join('\n'));
 }
 
-/** Digest of the answer of a plain service. */
+/** Digest of a plain service's response. */
 export function callResponseDigest(status: number, body: string, sha256: Sha256): string {
   return sha256(`${status}\n${body}`);
 }
 
-/** Collects the tokens of one answer in order; drops doubled ones, refuses gaps. */
+/** Assembles the tokens of one completion in order; drops duplicates and rejects gaps. */
 export class ResponseAssembler {
   private readonly texts: string[] = [];
 
@@ -30,11 +30,11 @@
     return tokensDigest(this.texts, this.sha256);
   }
 
-  /** Takes tokens from `firstIndex` on and returns the new ones; throws `OutcomeUnknown` on a gap. */
+  /** Appends tokens from `firstIndex` on and returns the new ones; throws `OutcomeUnknown` on a gap. */
   append(firstIndex: number, texts: readonly string[]): Token[] {
     const start = this.texts.length;
     if (firstIndex > start) throw new OutcomeUnknown(`Token ${start} is missing.`);
-    // Tokens that came before must be the same ones: else two answers have crossed.
+    // Duplicates must be identical; a difference means that two completions were mixed up.
     const known = Math.min(texts.length, start - firstIndex);
     for (let offset = 0; offset < known; offset += 1) {
       if (texts[offset] !== this.texts[firstIndex + offset]) {
@@ -46,7 +46,7 @@
     return fresh.map((text, offset) => ({ index: start + offset, text }));
   }
 
-  /** Checks the end mark over the tokens from `firstIndex` on; throws `Corrupted`. */
+  /** Checks the end frame, whose digest covers the tokens from `firstIndex` on; throws `Corrupted`. */
   verifyEnd(count: number, digest: string, firstIndex = 0): void {
     const covered = firstIndex === 0 ? this.texts : this.texts.slice(firstIndex);
     if (count !== this.texts.length || digest !== tokensDigest(covered, this.sha256)) {
--- a/packages/decisions/src/claims.ts
+++ b/packages/decisions/src/claims.ts
@@ -1,11 +1,11 @@
 import { Conflict, NotFound, StoreUnavailable } from '@laburnumstream/common';
 import type { KeyValueStore, StoredValue } from '@laburnumstream/common';
 
-/** How far the request behind an idempotency key has come. */
+/** State of the request behind an idempotency key. */
 export const ClaimState = {
-  /** One attempt holds the right to run; it may be running or have run. */
+  /** An attempt holds the right to run; it may be running or have run. */
   claimed: 'claimed',
-  /** The attempt was given up before it ran anything. */
+  /** The attempt ended before it ran anything. */
   released: 'released',
   ran: 'ran',
 } as const;
@@ -13,9 +13,9 @@
 /** One of the values of {@link ClaimState}. */
 export type ClaimState = (typeof ClaimState)[keyof typeof ClaimState];
 
-/** An answer that is kept with its claim. */
+/** A response that is stored with its claim. */
 export interface RecordedResponse {
-  /** Status of a plain service's answer; 0 for a completion. */
+  /** Status of a plain service's response; 0 for a completion. */
   readonly status: number;
   /** The body, or the tokens of a completion. */
   readonly texts: readonly string[];
@@ -28,7 +28,7 @@
   readonly state: ClaimState;
   /** Wall-clock time of the claim since the Unix epoch, in milliseconds. */
   readonly at: number;
-  /** Absent when the answer was too large to be kept. */
+  /** Absent when the response was too large to be stored. */
   readonly answer?: RecordedResponse;
 }
 
@@ -39,56 +39,56 @@
   readonly revision: number;
 }
 
-/** The outcome of a claim: held, or the record that stands in the way. */
+/** The result of a claim: held, or the record of another attempt that holds the key. */
 export type Claim =
   | { readonly kind: 'held'; readonly held: HeldClaim }
   | { readonly kind: 'taken'; readonly record: ClaimRecord };
 
-/** The lease whose end removes old claims from the store. */
+/** The lease whose expiry removes old claims from the store. */
 export interface ClaimLease {
   acquire(): Promise<string>;
-  /** The store does not know the lease any more. */
+  /** Discards a lease that the store no longer knows. */
   invalidate(): void;
 }
 
-const storeTries = 3;
-const mostAbandoned = 10_000;
+const storeAttempts = 3;
+const maxAbandoned = 10_000;
 
-function parse(stored: StoredValue): ClaimRecord {
+function parseRecord(stored: StoredValue): ClaimRecord {
   return JSON.parse(stored.value) as ClaimRecord;
 }
 
 /**
- * Claims idempotency keys in the platform's key-value service. A claim is created only when none is
- * there; after a lost answer the record is read again, and the attempt's own id in it shows that the
- * write took effect. Costs one write for a claim and one for its outcome.
+ * Claims idempotency keys in the platform's key-value service. A claim is created only if the key has
+ * none. When the response to a write is lost, the record is read back; the attempt's own id in it
+ * shows that the write took effect. Costs one write for a claim and one for its outcome.
  */
 export class ClaimStore {
-  /** Attempts of this process that gave up without knowing whether their claim was written. */
+  /** Attempts of this process that ended without knowing whether their claim was written. */
   private readonly abandoned = new Set<string>();
 
   constructor(
     private readonly store: KeyValueStore,
     private readonly lease: ClaimLease,
-    private readonly wall: () => number,
+    private readonly wallClock: () => number,
   ) {}
 
-  /** Claims `key` for `attempt`; throws `StoreUnavailable` when the store cannot tell. */
+  /** Claims `key` for `attempt`; throws `StoreUnavailable` when the state of the key is unknown. */
   async claim(
     key: string,
     attempt: string,
     fingerprint: string,
     signal?: AbortSignal,
   ): Promise<Claim> {
-    const record = { attempt, fingerprint, state: ClaimState.claimed, at: this.wall() };
-    let present: StoredValue | undefined;
+    const record = { attempt, fingerprint, state: ClaimState.claimed, at: this.wallClock() };
+    let existing: StoredValue | undefined;
     let failure: unknown = new StoreUnavailable('The claim was lost again and again.');
-    for (let tries = 0; tries < storeTries; tries += 1) {
+    for (let tries = 0; tries < storeAttempts; tries += 1) {
       try {
-        const written = await this.write(key, record, present?.revision ?? 0, signal);
+        const written = await this.write(key, record, existing?.revision ?? 0, signal);
         if (written) return { kind: 'held', held: { key, record, revision: written } };
-        present = await this.store.get(key, signal);
-        const resolved = present && this.resolve(key, present, attempt);
+        existing = await this.store.get(key, signal);
+        const resolved = existing && this.resolve(key, existing, attempt);
         if (resolved) return resolved;
       } catch (error) {
         if (!(error instanceof StoreUnavailable)) throw this.abandon(attempt, error);
@@ -101,27 +101,27 @@
   /** The record of a key, if there is one. */
   async read(key: string, signal?: AbortSignal): Promise<ClaimRecord | undefined> {
     const stored = await this.store.get(key, signal);
-    if (!stored || this.abandoned.has(parse(stored).attempt)) return undefined;
-    return parse(stored);
+    if (!stored || this.abandoned.has(parseRecord(stored).attempt)) return undefined;
+    return parseRecord(stored);
   }
 
-  /** Gives a claim back; only for work that was not begun and will not be. */
+  /** Releases a claim; only for work that has not started and will not start. */
   async release(held: HeldClaim): Promise<void> {
-    this.remember(held.record.attempt);
-    await this.settle(held, { ...held.record, state: ClaimState.released });
+    this.addAbandoned(held.record.attempt);
+    await this.update(held, { ...held.record, state: ClaimState.released });
   }
 
-  /** Records that the work ran, with its answer when there is one to keep. */
+  /** Records that the work ran, with its response if that is to be stored. */
   async recordRun(held: HeldClaim, answer?: RecordedResponse): Promise<void> {
     const ran = { ...held.record, state: ClaimState.ran };
-    await this.settle(held, answer ? { ...ran, answer } : ran);
+    await this.update(held, answer ? { ...ran, answer } : ran);
   }
 
-  /** The claim that a present record allows, or undefined when it may be written over. */
-  private resolve(key: string, present: StoredValue, attempt: string): Claim | undefined {
-    const record = parse(present);
+  /** The claim that results from an existing record, or undefined when it may be overwritten. */
+  private resolve(key: string, existing: StoredValue, attempt: string): Claim | undefined {
+    const record = parseRecord(existing);
     if (record.attempt === attempt) {
-      return { kind: 'held', held: { key, record, revision: present.revision } };
+      return { kind: 'held', held: { key, record, revision: existing.revision } };
     }
     if (record.state === ClaimState.released || this.abandoned.has(record.attempt)) {
       return undefined;
@@ -129,7 +129,7 @@
     return { kind: 'taken', record };
   }
 
-  /** Writes a record; returns its revision, or 0 when the condition failed. */
+  /** Writes a record if `ifRevision` still holds; returns the new revision, or 0 on a conflict. */
   private async write(
     key: string,
     record: ClaimRecord,
@@ -147,9 +147,9 @@
     }
   }
 
-  private async settle(held: HeldClaim, record: ClaimRecord): Promise<void> {
+  private async update(held: HeldClaim, record: ClaimRecord): Promise<void> {
     let failure: unknown;
-    for (let tries = 0; tries < storeTries; tries += 1) {
+    for (let tries = 0; tries < storeAttempts; tries += 1) {
       try {
         // A conflict means that an earlier try took effect or that the record has expired.
         await this.write(held.key, record, held.revision);
@@ -162,13 +162,13 @@
   }
 
   private abandon(attempt: string, error: unknown): unknown {
-    this.remember(attempt);
+    this.addAbandoned(attempt);
     return error;
   }
 
-  private remember(attempt: string): void {
+  private addAbandoned(attempt: string): void {
     this.abandoned.add(attempt);
-    if (this.abandoned.size <= mostAbandoned) return;
+    if (this.abandoned.size <= maxAbandoned) return;
     const [oldest] = this.abandoned;
     if (oldest) this.abandoned.delete(oldest);
   }
--- a/packages/decisions/src/frameOrder.ts
+++ b/packages/decisions/src/frameOrder.ts
@@ -1,13 +1,13 @@
 import { OutcomeUnknown } from '@laburnumstream/common';
 
-/** What marks a frame as part of one attempt. */
+/** Fields that identify a frame and its position within an attempt. */
 export interface FrameHeader {
   readonly id: string;
   readonly attempt: number;
   readonly sequence: number;
 }
 
-/** Lets through the frames of one attempt in order; drops late, doubled and crossed ones. */
+/** Accepts the frames of one attempt in order; rejects duplicates and frames of other attempts. */
 export class FrameOrder {
   private next = 0;
 
--- a/packages/decisions/src/home.ts
+++ b/packages/decisions/src/home.ts
@@ -1,6 +1,6 @@
 import { rendezvousOrder } from '@laburnumstream/common';
 
-/** Where an endpoint or an entry stands. */
+/** Location of an endpoint or an entry. */
 export interface HomeLocation {
   readonly dataCentre: string;
   readonly region: string;
@@ -10,21 +10,21 @@
 const sameRegion = 1;
 const otherRegion = 2;
 
-function distance(place: HomeLocation, other: HomeLocation): number {
-  if (place.dataCentre === other.dataCentre) return sameDataCentre;
-  return place.region === other.region ? sameRegion : otherRegion;
+function distance(a: HomeLocation, b: HomeLocation): number {
+  if (a.dataCentre === b.dataCentre) return sameDataCentre;
+  return a.region === b.region ? sameRegion : otherRegion;
 }
 
 /**
- * The endpoint at which requests with the same key meet: the first by rendezvous hash among the
- * nearest, whatever their load.
+ * Picks the home of a key: the endpoint that all requests with this key are routed to. It is the first
+ * by rendezvous hash among the nearest endpoints, regardless of load.
  */
 export function pickHome<Member extends HomeLocation & { readonly name: string }>(
   key: string,
   members: readonly Member[],
-  place: HomeLocation,
+  from: HomeLocation,
 ): Member | undefined {
-  const nearest = Math.min(...members.map((member) => distance(member, place)));
-  const near = members.filter((member) => distance(member, place) === nearest);
-  return rendezvousOrder(key, near, ({ name }) => name)[0];
+  const minDistance = Math.min(...members.map((member) => distance(member, from)));
+  const nearest = members.filter((member) => distance(member, from) === minDistance);
+  return rendezvousOrder(key, nearest, ({ name }) => name)[0];
 }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** The decision logic: pure modules without input or output, clock or randomness of their own. */
+/** Decision logic: pure modules without I/O, clocks or randomness of their own. */
 export * from './admission.js';
 export * from './answer.js';
 export * from './claims.js';
--- a/packages/decisions/src/membership.ts
+++ b/packages/decisions/src/membership.ts
@@ -1,24 +1,24 @@
 import { hash32 } from '@laburnumstream/common';
 
-/** What a record says of a member. */
+/** State of a member according to a record. */
 export const MemberState = { alive: 'alive', leaving: 'leaving', gone: 'gone' } as const;
 
 /** One of the values of {@link MemberState}. */
 export type MemberState = (typeof MemberState)[keyof typeof MemberState];
 
-/** How one process judges a member now. */
+/** Status of a member as this process sees it now. */
 export const MemberStatus = { ...MemberState, suspect: 'suspect' } as const;
 
 /** One of the values of {@link MemberStatus}. */
 export type MemberStatus = (typeof MemberStatus)[keyof typeof MemberStatus];
 
-/** What processes tell each other of a member. A later incarnation wins, then a later beat. */
+/** Membership record that processes exchange. The higher incarnation wins, then the higher beat. */
 export interface MemberRecord {
   readonly name: string;
   readonly role: 'entry' | 'agent';
-  /** Grows with each start of the member. */
+  /** Increases with each start of the member. */
   readonly incarnation: number;
-  /** Number of the heartbeat that the record rests on. */
+  /** Sequence number of the heartbeat that the record is based on. */
   readonly beat: number;
   readonly state: MemberState;
   readonly region: string;
@@ -29,44 +29,44 @@
   readonly serving: readonly string[];
   /** Admission limit of the endpoint, in work units. */
   readonly limit: number;
-  /** Set while the endpoint holds a version for unfit to serve. */
+  /** Set while the endpoint considers a version unfit to serve. */
   readonly unfit?: UnfitVersion;
 }
 
-/** A version that an endpoint holds for unfit, by the digest of its manifest. */
+/** A version that an endpoint considers unfit, by the digest of its manifest. */
 export interface UnfitVersion {
   readonly digest: string;
   readonly reason: string;
 }
 
-/** Bounds of the judgement, in milliseconds. */
+/** Timeouts of the failure detection, in milliseconds. */
 export interface MembershipTimeouts {
-  /** Silence after which a member that reports here gets no new work. */
+  /** Silence after which a member that sends heartbeats here gets no new work. */
   readonly suspectMs: number;
-  /** Silence after which it counts as gone, and others are told. */
+  /** Silence after which such a member is declared gone, also to other processes. */
   readonly timeoutMs: number;
-  /** Age of the last news from another data centre after which its members are left out. */
+  /** Age of the last update from another data centre after which its members are left out. */
   readonly dataCentreTimeoutMs: number;
-  /** Time for which a gone member is remembered, so that old news cannot bring it back. */
+  /** Time for which a gone member is remembered, so that outdated records can't revive it. */
   readonly retentionMs: number;
 }
 
-/** Records that changed after a cursor, and the cursor after them. */
+/** Records that changed after a cursor, and the cursor to continue from. */
 export interface MembershipChanges {
   readonly records: readonly MemberRecord[];
   readonly cursor: number;
 }
 
-/** Entries report less often than agents: their silence counts by this factor. */
-const entryPatience = 2;
+/** Factor on the timeouts of entries, which send heartbeats less often than agents. */
+const entryTimeoutFactor = 2;
 
-interface Known {
+interface KnownMember {
   record: MemberRecord;
-  /** Place of the last change in the order of changes. */
+  /** Value of the change counter at the last change. */
   changed: number;
   changedAt: number;
-  /** The last heartbeat that came here directly; absent when others know better. */
-  heard: { beat: number; at: number } | undefined;
+  /** The last heartbeat received directly; absent when other processes have later information. */
+  heartbeat: { beat: number; at: number } | undefined;
 }
 
 /** Whether record `a` is newer than record `b` of the same member. */
@@ -76,8 +76,8 @@
   return a.state === MemberState.gone && b.state !== MemberState.gone;
 }
 
-/** Whether two records differ in nothing that other processes act on. */
-function sameContent(a: MemberRecord, b: MemberRecord): boolean {
+/** Whether two records are equal in all that other processes act on. */
+function isSameContent(a: MemberRecord, b: MemberRecord): boolean {
   return (
     a.incarnation === b.incarnation &&
     a.state === b.state &&
@@ -88,53 +88,56 @@
   );
 }
 
-function patienceOf({ role }: MemberRecord): number {
-  return role === 'entry' ? entryPatience : 1;
+function timeoutFactor({ role }: MemberRecord): number {
+  return role === 'entry' ? entryTimeoutFactor : 1;
 }
 
-function digestOf({ record }: Known): number {
+function recordDigest({ record }: KnownMember): number {
   if (record.state === MemberState.gone) return 0;
   const { name, incarnation, state, address, serving } = record;
   return hash32(`${name} ${incarnation} ${state} ${address} ${serving.join()}`);
 }
 
-function isLater(record: MemberRecord, { heard, record: known }: Known): boolean {
+function hasLaterBeat(record: MemberRecord, { heartbeat, record: known }: KnownMember): boolean {
   return (
-    record.incarnation === known.incarnation && heard !== undefined && record.beat > heard.beat
+    record.incarnation === known.incarnation &&
+    heartbeat !== undefined &&
+    record.beat > heartbeat.beat
   );
 }
 
-/** Whether a later heartbeat is known here than the one on which news of a member's end rest. */
-function isRefuted(record: MemberRecord, { record: known, heard }: Known): boolean {
+/** Whether a record declares a member gone although a later heartbeat of it is known. */
+function isRefuted(record: MemberRecord, { record: known, heartbeat }: KnownMember): boolean {
   return (
     record.incarnation === known.incarnation &&
     record.state === MemberState.gone &&
     known.state !== MemberState.gone &&
-    record.beat < Math.max(known.beat, heard?.beat ?? 0)
+    record.beat < Math.max(known.beat, heartbeat?.beat ?? 0)
   );
 }
 
 /**
- * The members as one entry knows them: from heartbeats that come here, and from records of other
- * entries. Only changes are passed on; a heartbeat that changes nothing costs no further message.
+ * The members as one entry knows them, from heartbeats that it receives and from records of other
+ * entries. Only changes are propagated; a heartbeat without a change causes no further message.
  */
 export class Membership {
-  private readonly members = new Map<string, Known>();
+  private readonly members = new Map<string, KnownMember>();
 
-  private readonly confirmed = new Map<string, number>();
+  /** Time of the last update from each data centre. */
+  private readonly dataCentreUpdatedAt = new Map<string, number>();
 
-  private changes = 0;
+  private changeCount = 0;
 
   private digestSum = 0;
 
   constructor(
     private readonly dataCentre: string,
-    private readonly bounds: MembershipTimeouts,
+    private readonly timeouts: MembershipTimeouts,
   ) {}
 
-  /** Grows with each change of a record. */
+  /** Increases with each change of a record. */
   get revision(): number {
-    return this.changes;
+    return this.changeCount;
   }
 
   /** Equal in processes that hold the same records of members that are not gone. */
@@ -146,99 +149,108 @@
     return this.members.get(name)?.record;
   }
 
-  /** Takes a heartbeat from the member itself; returns the newest incarnation known of it. */
+  /** Records a heartbeat from the member itself; returns the highest known incarnation. */
   recordHeartbeat(record: MemberRecord, now: number): number {
     const known = this.members.get(record.name);
-    if (known && !supersedes(record, known.record) && !isLater(record, known)) {
+    if (known && !supersedes(record, known.record) && !hasLaterBeat(record, known)) {
       return known.record.incarnation;
     }
-    const heard = { beat: record.beat, at: now };
-    if (known && sameContent(known.record, record)) known.heard = heard;
-    else this.store(record, now, heard);
+    const heartbeat = { beat: record.beat, at: now };
+    if (known && isSameContent(known.record, record)) known.heartbeat = heartbeat;
+    else this.setRecord(record, now, heartbeat);
     return record.incarnation;
   }
 
-  /** Takes a record from another entry; returns whether it was news. */
+  /** Merges a record from another entry; returns whether it changed anything. */
   mergeRecord(record: MemberRecord, now: number): boolean {
     const known = this.members.get(record.name);
     if (!known) {
-      this.store(record, now, undefined);
+      this.setRecord(record, now, undefined);
       return true;
     }
     if (isRefuted(record, known)) {
-      // Say so instead of taking the old news.
-      const beat = Math.max(known.record.beat, known.heard?.beat ?? 0);
-      this.store({ ...known.record, beat }, now, known.heard);
+      // Propagates the known record with its latest beat, which supersedes the outdated one.
+      const beat = Math.max(known.record.beat, known.heartbeat?.beat ?? 0);
+      this.setRecord({ ...known.record, beat }, now, known.heartbeat);
       return false;
     }
     if (!supersedes(record, known.record)) return false;
-    if (sameContent(record, known.record)) {
-      // A later heartbeat alone is no news to anyone.
+    if (isSameContent(record, known.record)) {
+      // A later beat alone is not propagated.
       known.record = record;
       return false;
     }
-    const heard = known.heard && known.heard.beat >= record.beat ? known.heard : undefined;
+    const heartbeat =
+      known.heartbeat && known.heartbeat.beat >= record.beat ? known.heartbeat : undefined;
     const restarted = record.incarnation !== known.record.incarnation;
-    this.store(record, now, restarted ? undefined : heard);
+    this.setRecord(record, now, restarted ? undefined : heartbeat);
     return true;
   }
 
-  /** Declares members gone that have been silent for too long; forgets those gone for long. */
+  /** Declares members gone whose heartbeats timed out; forgets gone members after the retention. */
   sweep(now: number): void {
-    const { timeoutMs, retentionMs } = this.bounds;
+    const { timeoutMs, retentionMs } = this.timeouts;
     this.members.forEach((known, name) => {
-      const { record, heard, changedAt } = known;
+      const { record, heartbeat, changedAt } = known;
       const isGone = record.state === MemberState.gone;
       if (isGone && now - changedAt > retentionMs) this.members.delete(name);
-      if (!isGone && heard && now - heard.at > timeoutMs * patienceOf(record)) {
-        this.store({ ...record, beat: heard.beat, state: MemberState.gone }, now, undefined);
+      if (!isGone && heartbeat && now - heartbeat.at > timeoutMs * timeoutFactor(record)) {
+        this.setRecord(
+          { ...record, beat: heartbeat.beat, state: MemberState.gone },
+          now,
+          undefined,
+        );
       }
     });
   }
 
-  /** Declares a member gone that could not be reached for long; its observers can refute it. */
+  /** Declares a member gone that has been unreachable; processes that get its heartbeats can refute it. */
   declareGone(name: string, now: number): void {
     const known = this.members.get(name);
-    if (!known || known.heard || known.record.state === MemberState.gone) return;
-    this.store({ ...known.record, state: MemberState.gone }, now, undefined);
+    if (!known || known.heartbeat || known.record.state === MemberState.gone) return;
+    this.setRecord({ ...known.record, state: MemberState.gone }, now, undefined);
   }
 
-  /** This process stood still for a while: that silence was not the members'. */
-  skipPause(gapMs: number): void {
-    this.members.forEach(({ heard }) => {
-      if (heard) Object.assign(heard, { at: heard.at + gapMs });
+  /** Excludes a pause of this process from the members' silence. */
+  compensatePause(gapMs: number): void {
+    this.members.forEach(({ heartbeat }) => {
+      if (heartbeat) Object.assign(heartbeat, { at: heartbeat.at + gapMs });
     });
-    this.confirmed.forEach((at, name) => this.confirmed.set(name, at + gapMs));
+    this.dataCentreUpdatedAt.forEach((at, name) => this.dataCentreUpdatedAt.set(name, at + gapMs));
   }
 
-  /** A data centre's own entries were heard `ageMs` ago, here or through others. */
+  /** Records that an update from a data centre's own entries, direct or relayed, is `ageMs` old. */
   confirmDataCentre(dataCentre: string, ageMs: number, now: number): void {
     const at = now - Math.max(0, ageMs);
-    if (at > (this.confirmed.get(dataCentre) ?? -Infinity)) this.confirmed.set(dataCentre, at);
+    if (at > (this.dataCentreUpdatedAt.get(dataCentre) ?? -Infinity))
+      this.dataCentreUpdatedAt.set(dataCentre, at);
   }
 
-  /** Ages of the last news of each data centre, in milliseconds. */
+  /** Age of the last update from each data centre, in milliseconds. */
   dataCentreAges(now: number): { dataCentre: string; ageMs: number }[] {
-    this.confirmed.set(this.dataCentre, now);
-    return [...this.confirmed].map(([dataCentre, at]) => ({ dataCentre, ageMs: now - at }));
+    this.dataCentreUpdatedAt.set(this.dataCentre, now);
+    return [...this.dataCentreUpdatedAt].map(([dataCentre, at]) => ({
+      dataCentre,
+      ageMs: now - at,
+    }));
   }
 
-  /** Whether news of a data centre are recent enough to send work there. */
+  /** Whether the last update from a data centre is recent enough to send work there. */
   isReachable(dataCentre: string, now: number): boolean {
     if (dataCentre === this.dataCentre) return true;
-    const at = this.confirmed.get(dataCentre) ?? -Infinity;
-    return now - at <= this.bounds.dataCentreTimeoutMs;
+    const at = this.dataCentreUpdatedAt.get(dataCentre) ?? -Infinity;
+    return now - at <= this.timeouts.dataCentreTimeoutMs;
   }
 
-  /** The judgement of a member now. */
+  /** The status of a member now. */
   status(name: string, now: number): MemberStatus {
     const known = this.members.get(name);
     if (!known) return MemberStatus.gone;
-    const { record, heard } = known;
+    const { record, heartbeat } = known;
     if (record.state !== MemberState.alive) return record.state;
-    if (heard) {
-      const longest = this.bounds.suspectMs * patienceOf(record);
-      return now - heard.at > longest ? MemberStatus.suspect : MemberStatus.alive;
+    if (heartbeat) {
+      const maxSilenceMs = this.timeouts.suspectMs * timeoutFactor(record);
+      return now - heartbeat.at > maxSilenceMs ? MemberStatus.suspect : MemberStatus.alive;
     }
     return this.isReachable(record.dataCentre, now) ? MemberStatus.alive : MemberStatus.suspect;
   }
@@ -252,22 +264,22 @@
     return records;
   }
 
-  /** The records that changed after a cursor; 0 gives all. */
+  /** The records that changed after a cursor; 0 returns all. */
   changesAfter(cursor: number): MembershipChanges {
     const records: MemberRecord[] = [];
-    if (cursor < this.changes) {
+    if (cursor < this.changeCount) {
       this.members.forEach(({ record, changed }) => {
         if (changed > cursor) records.push(record);
       });
     }
-    return { records, cursor: this.changes };
+    return { records, cursor: this.changeCount };
   }
 
-  private store(record: MemberRecord, now: number, heard: Known['heard']): void {
-    const before = this.members.get(record.name);
-    this.changes += 1;
-    const known = { record, changed: this.changes, changedAt: now, heard };
+  private setRecord(record: MemberRecord, now: number, heartbeat: KnownMember['heartbeat']): void {
+    const previous = this.members.get(record.name);
+    this.changeCount += 1;
+    const known = { record, changed: this.changeCount, changedAt: now, heartbeat };
     this.members.set(record.name, known);
-    this.digestSum = this.digestSum - (before ? digestOf(before) : 0) + digestOf(known);
+    this.digestSum = this.digestSum - (previous ? recordDigest(previous) : 0) + recordDigest(known);
   }
 }
--- a/packages/decisions/src/rateLimit.ts
+++ b/packages/decisions/src/rateLimit.ts
@@ -2,21 +2,21 @@
 
 const secondMs = 1_000;
 
-/** A rate and how much of it may come at once. */
+/** Refill rate and capacity of a token bucket. */
 export interface RateLimit {
   readonly perSecond: number;
   readonly burst: number;
 }
 
-/** Bounds the rate of calls by name with one token bucket each. */
+/** Limits the rate of calls with one token bucket per name. */
 export class RateLimiter {
   private readonly buckets = new Map<string, { tokens: number; at: number }>();
 
-  constructor(private readonly bound: RateLimit) {}
+  constructor(private readonly limit: RateLimit) {}
 
-  /** Takes one call of a name at a time in milliseconds; throws `Overloaded`. */
+  /** Takes a token of a name's bucket at `nowMs`; throws `Overloaded` when it is empty. */
   take(name: string, nowMs: number): void {
-    const { perSecond, burst } = this.bound;
+    const { perSecond, burst } = this.limit;
     const bucket = this.buckets.get(name) ?? { tokens: burst, at: nowMs };
     const refilled = bucket.tokens + ((nowMs - bucket.at) / secondMs) * perSecond;
     const tokens = Math.min(burst, refilled);
--- a/packages/decisions/src/recovery.ts
+++ b/packages/decisions/src/recovery.ts
@@ -3,9 +3,9 @@
 
 /** What to do after a failed attempt. */
 export const Recovery = {
-  /** Attach to the same run over a new connection. */
+  /** Reattach to the same run over a new connection. */
   reconnect: 'reconnect',
-  /** Run at another endpoint, from where the answer was cut. */
+  /** Run at another endpoint, continuing where the response was cut off. */
   elsewhere: 'elsewhere',
   giveUp: 'giveUp',
 } as const;
@@ -13,45 +13,45 @@
 /** One of the values of {@link Recovery}. */
 export type Recovery = (typeof Recovery)[keyof typeof Recovery];
 
-/** How a request may be repeated. */
+/** What makes it safe to retry a request. */
 export interface Idempotency {
   readonly nonIdempotent: boolean;
-  /** Whether an idempotency key guards against a second run. */
+  /** Whether an idempotency key prevents a second run. */
   readonly keyed: boolean;
 }
 
-/** A failed attempt and what came before it. */
+/** A failed attempt and its history. */
 export interface FailedAttempt {
   readonly failure: Failure;
-  /** Whether the connection to the agent broke, rather than the agent having refused. */
+  /** Whether the connection to the agent broke, as opposed to a refusal by the agent. */
   readonly linkLost: boolean;
-  /** Connections to this run that have failed in a row. */
+  /** Consecutive failed connections to this run. */
   readonly reconnects: number;
 }
 
-const mostReconnects = 2;
+const maxReconnects = 2;
 
-/** Failures that a repetition elsewhere may cure although the request may have run. */
-const curable = new Set<string>([
+/** Failures worth a retry elsewhere although the request may have run. */
+const retryableTypes = new Set<string>([
   EndpointDied.type,
   RunNotFound.type,
   'outcome_unknown',
   'timeout',
 ]);
 
-/** Decides what follows a failed attempt, so that nothing non-idempotent runs twice. */
+/** Decides how to proceed after a failed attempt without running a non-idempotent request twice. */
 export function decideRecovery(request: Idempotency, attempt: FailedAttempt): Recovery {
   const { failure, linkLost, reconnects } = attempt;
   const notRun = failure.execution === Execution.notRun;
-  if (linkLost && !notRun && reconnects < mostReconnects) return Recovery.reconnect;
-  // A link that refuses connections after a dispatch says nothing about the dispatch.
+  if (linkLost && !notRun && reconnects < maxReconnects) return Recovery.reconnect;
+  // A connection refused after the dispatch doesn't show whether the request ran.
   if (request.nonIdempotent && !request.keyed && (reconnects > 0 || !notRun)) {
     return Recovery.giveUp;
   }
   if (notRun) {
     return failure.retryAfterMs === undefined ? Recovery.giveUp : Recovery.elsewhere;
   }
-  // A key's claim guards the second attempt; a refusal that named an outcome stands.
+  // The key's claim protects the second attempt; a failure reported by the agent is final.
   if (request.nonIdempotent) return linkLost ? Recovery.elsewhere : Recovery.giveUp;
-  return curable.has(failure.type) ? Recovery.elsewhere : Recovery.giveUp;
+  return retryableTypes.has(failure.type) ? Recovery.elsewhere : Recovery.giveUp;
 }
--- a/packages/decisions/src/retryBudget.ts
+++ b/packages/decisions/src/retryBudget.ts
@@ -1,33 +1,33 @@
-/** Retries that a fresh request earns. */
-const retriesPerRequest = 0.1;
-/** Most retries saved by one workspace: enough for the requests of one lost endpoint. */
-const mostOfWorkspace = 64;
-const mostOfAll = 256;
-/** Savings above which a workspace may retry although others have used up the overall budget. */
-const ownSavings = mostOfWorkspace / 2;
+/** Tokens that each new request adds. */
+const retryRatio = 0.1;
+/** Bucket capacity of a workspace: enough for the requests of one lost endpoint. */
+const workspaceCapacity = 64;
+const overallCapacity = 256;
+/** Tokens above which a workspace may retry although the overall bucket is empty. */
+const ownReserve = workspaceCapacity / 2;
 
 /**
- * Bounds retries to a share of fresh requests, for each workspace and overall, so that retries never
- * amplify an overload and one workspace's retries do not use up another's.
+ * Limits retries to a share of new requests with token buckets, one per workspace and one overall, so
+ * that retries never amplify an overload and one workspace can't use up another's budget.
  */
 export class RetryBudget {
-  private readonly saved = new Map<string, number>();
+  private readonly tokens = new Map<string, number>();
 
-  private savedOfAll = mostOfAll;
+  private overallTokens = overallCapacity;
 
-  /** A fresh request of a workspace earns a part of a retry. */
+  /** Adds the tokens of a workspace's new request. */
   recordRequest(workspace: string): void {
-    const saved = this.saved.get(workspace) ?? mostOfWorkspace;
-    this.saved.set(workspace, Math.min(mostOfWorkspace, saved + retriesPerRequest));
-    this.savedOfAll = Math.min(mostOfAll, this.savedOfAll + retriesPerRequest);
+    const tokens = this.tokens.get(workspace) ?? workspaceCapacity;
+    this.tokens.set(workspace, Math.min(workspaceCapacity, tokens + retryRatio));
+    this.overallTokens = Math.min(overallCapacity, this.overallTokens + retryRatio);
   }
 
-  /** Takes one retry; returns whether the budget had it. */
+  /** Takes a token for one retry; returns false when the budget is exhausted. */
   tryAcquire(workspace: string): boolean {
-    const saved = this.saved.get(workspace) ?? mostOfWorkspace;
-    if (saved < 1 || (this.savedOfAll < 1 && saved <= ownSavings)) return false;
-    this.saved.set(workspace, saved - 1);
-    this.savedOfAll = Math.max(0, this.savedOfAll - 1);
+    const tokens = this.tokens.get(workspace) ?? workspaceCapacity;
+    if (tokens < 1 || (this.overallTokens < 1 && tokens <= ownReserve)) return false;
+    this.tokens.set(workspace, tokens - 1);
+    this.overallTokens = Math.max(0, this.overallTokens - 1);
     return true;
   }
 }
--- a/packages/decisions/src/returnRamp.ts
+++ b/packages/decisions/src/returnRamp.ts
@@ -1,4 +1,4 @@
-/** Lets the share of work of a data centre grow after its return, instead of all at once. */
+/** Slow start of data centres: ramps up the share of work of one that is back in use. */
 export class SlowStart {
   private readonly out = new Set<string>();
 
@@ -6,7 +6,7 @@
 
   constructor(private readonly rampMs: number) {}
 
-  /** Notes whether a data centre is in; returns true when it has just come back. */
+  /** Updates whether a data centre is in use; returns true when it has just returned. */
   update(dataCentre: string, isIn: boolean, now: number): boolean {
     if (!isIn) {
       this.out.add(dataCentre);
@@ -17,7 +17,7 @@
     return true;
   }
 
-  /** The share of its work that a data centre gets now, from 0 to 1. */
+  /** Share of its regular work that a data centre gets now, from 0 to 1. */
   share(dataCentre: string, now: number): number {
     const since = this.returnedAt.get(dataCentre);
     if (since === undefined) return 1;
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -4,7 +4,7 @@
 import type { Target } from './routingTarget.js';
 import { RoutingTier } from './routingTier.js';
 
-/** An endpoint as an entry sees it. */
+/** An endpoint that an entry may route to. */
 export interface Candidate {
   readonly name: string;
   readonly dataCentre: string;
@@ -15,16 +15,16 @@
   readonly limit: number;
 }
 
-/** Where an entry stands. */
+/** Location of an entry or an endpoint. */
 export interface Location {
   readonly dataCentre: string;
   readonly region: string;
 }
 
-/** Endpoints that an entry keeps in touch with in one data centre. */
+/** Maximum number of endpoints at one distance that an entry routes to. */
 export const subsetSize = 32;
 
-/** The members that an entry uses of a long list: the first by rendezvous hash with its name. */
+/** Picks up to `size` members by rendezvous hash with the entry's name. */
 export function pickSubset<Member extends { readonly hash: number }>(
   self: string,
   members: readonly Member[],
@@ -32,37 +32,45 @@
 ): readonly Member[] {
   if (members.length <= size) return members;
   const key = hash32(self);
-  const weighed = members.map((member) => ({ member, at: rendezvousWeight(key, member.hash) }));
-  weighed.sort((a, b) => b.at - a.at);
-  return weighed.slice(0, size).map(({ member }) => member);
+  const weighted = members.map((member) => ({
+    member,
+    weight: rendezvousWeight(key, member.hash),
+  }));
+  weighted.sort((a, b) => b.weight - a.weight);
+  return weighted.slice(0, size).map(({ member }) => member);
 }
 
-const nothingTried: ReadonlySet<string> = new Set();
+const noneTried: ReadonlySet<string> = new Set();
 
-/** Where an endpoint of a routing table stands. */
+/** An endpoint of a routing table and its location. */
 export interface RoutingMember extends Location {
   readonly target: Target;
 }
 
-function distanceOf(member: Location, place: Location): number {
-  if (member.dataCentre === place.dataCentre) return 0;
-  return member.region === place.region ? 1 : 2;
+function distance(a: Location, b: Location): number {
+  if (a.dataCentre === b.dataCentre) return 0;
+  return a.region === b.region ? 1 : 2;
 }
 
 /**
- * The endpoints of a service in the order of their distance, indexed when the membership changes, so
- * that a choice costs the same for few and for many.
+ * The endpoints of a service by distance from the entry. The index is built when the membership
+ * changes, so that the cost of a choice doesn't depend on the number of endpoints.
  */
 export class RoutingTable {
   private readonly tiers: readonly RoutingTier[];
 
-  constructor(self: string, place: Location, members: readonly RoutingMember[], size = subsetSize) {
+  constructor(
+    self: string,
+    location: Location,
+    members: readonly RoutingMember[],
+    size = subsetSize,
+  ) {
     this.tiers = [0, 1, 2]
-      .map((distance) => members.filter((member) => distanceOf(member, place) === distance))
-      .map((near) =>
+      .map((tier) => members.filter((member) => distance(member, location) === tier))
+      .map((tierMembers) =>
         pickSubset(
           self,
-          near.map(({ target }) => target),
+          tierMembers.map(({ target }) => target),
           size,
         ),
       )
@@ -71,19 +79,19 @@
   }
 
   /**
-   * Chooses an endpoint: near ones first, there the prefix's home while its load allows it, else the
-   * less loaded of two; further ones when the near ones are full; a near one when all are full.
+   * Chooses an endpoint of the nearest tier that has capacity: the prefix's home if its load permits,
+   * else the less loaded of two random ones. When all tiers are full, the nearest one is used.
    * `affinity` is a hash of the prefix, 0 for none.
    */
   choose(
     affinity: number,
     random: Random,
-    tried: ReadonlySet<string> = nothingTried,
+    tried: ReadonlySet<string> = noneTried,
   ): Target | undefined {
     let fallback: Target | undefined;
     for (let index = 0; index < this.tiers.length; index += 1) {
       const tier = this.tiers[index]!;
-      const target = tier.lessLoadedOfTwo(random, tried);
+      const target = tier.pickLessLoaded(random, tried);
       if (!target) continue;
       const home = affinity === 0 ? undefined : tier.home(affinity, target, tried);
       if (home) return home;
--- a/packages/decisions/src/routingTarget.ts
+++ b/packages/decisions/src/routingTarget.ts
@@ -1,6 +1,6 @@
 import { hash32 } from '@laburnumstream/common';
 
-/** An endpoint's load as one entry knows it; changed in place by that entry. */
+/** One entry's estimate of an endpoint's load, updated in place. */
 export interface Target {
   readonly name: string;
   readonly hash: number;
@@ -12,7 +12,7 @@
   limit: number;
 }
 
-/** A target that knows nothing of its load yet. */
+/** Creates a target whose load has not been reported. */
 export function createTarget(name: string): Target {
   return { name, hash: hash32(name), own: 0, ownAtReport: 0, reported: 0, limit: 1 };
 }
@@ -20,7 +20,7 @@
 const goldenRatio = 0x9e3779b1;
 const mixMultiplier = 0x85ebca6b;
 
-/** The rendezvous weight of a key at a member, from their 32-bit hashes. */
+/** Rendezvous weight of a key at a member, from their 32-bit hashes. */
 export function rendezvousWeight(key: number, member: number): number {
   /* eslint-disable no-bitwise -- integer mixing */
   let mixed = Math.imul(key ^ member, goldenRatio);
@@ -29,7 +29,7 @@
   /* eslint-enable no-bitwise */
 }
 
-/** Load as a share of the limit: the last report and what this entry has changed since. */
+/** Load relative to the limit: the last report, corrected by this entry's changes since. */
 export function targetLoad({ own, ownAtReport, reported, limit }: Target): number {
   return Math.max(own, reported + own - ownAtReport) / limit;
 }
--- a/packages/decisions/src/spread.ts
+++ b/packages/decisions/src/spread.ts
@@ -1,173 +1,180 @@
 import { rendezvousOrder } from '@laburnumstream/common';
 import type { Random } from '@laburnumstream/common';
 
-/** Entries of a data centre that watch the store. */
+/** Number of entries in a data centre that watch the store. */
 export const watchersPerDataCentre = 2;
-/** Entries of a data centre that may come to watch the store while others cannot reach it. */
+/** Maximum number that may watch it while other watchers can't reach the store. */
 export const maxWatchers = 4;
-/** Entries of a data centre that check those before them in the order of watchers. */
-const lineLength = 6;
-/** Most members that one entry checks in each round. */
-const mostChecked = 12;
-/** Entries that one entry tells of a new revision. */
+/** Number of first live entries in the watch order that check all entries before them. */
+const checkingEntries = 6;
+/** Maximum number of members that one entry checks in each round. */
+const maxChecked = 12;
+/** Number of entries that one entry notifies of a new revision. */
 const fanOut = 4;
-/** Peers that an entry without a configuration asks at once. */
-const newcomerPeers = 3;
+/** Number of peers that an entry without a configuration asks at once. */
+const bootstrapPeers = 3;
 
-/** Times of the spread, in milliseconds. */
+/** Timeouts of the configuration gossip, in milliseconds. */
 export interface GossipTimeouts {
-  /** How long a peer that did not answer is left out. */
+  /** Time for which a peer is skipped after it failed to respond. */
   readonly suspectMs: number;
-  /** Silence of the store after which other entries watch it, too. */
+  /** Silence of the store at the watchers after which further entries watch it. */
   readonly silenceMs: number;
 }
 
-/** An entry as the spread sees it. */
+/** An entry that takes part in the gossip. */
 export interface GossipMember {
   readonly name: string;
   readonly dataCentre: string;
 }
 
-function nameOf({ name }: GossipMember): string {
+function getName({ name }: GossipMember): string {
   return name;
 }
 
-/** Picks up to `count` different members. */
-function pick(members: readonly GossipMember[], count: number, random: Random): GossipMember[] {
-  const left = [...members];
+/** Picks up to `count` different members at random. */
+function pickRandom(
+  members: readonly GossipMember[],
+  count: number,
+  random: Random,
+): GossipMember[] {
+  const remaining = [...members];
   const picked: GossipMember[] = [];
-  while (picked.length < count && left.length > 0) {
-    picked.push(...left.splice(Math.floor(random.next() * left.length), 1));
+  while (picked.length < count && remaining.length > 0) {
+    picked.push(...remaining.splice(Math.floor(random.next() * remaining.length), 1));
   }
   return picked;
 }
 
-/** The forest has `fanOut` roots; each member has `fanOut` children. */
-function childrenIn(order: readonly GossipMember[], parent: GossipMember): GossipMember[] {
-  const place = order.findIndex(({ name }) => name === parent.name);
-  if (place < 0) return [];
-  const first = fanOut * (place + 1);
+/** Children of a member in a forest with `fanOut` roots and `fanOut` children per member. */
+function getChildren(order: readonly GossipMember[], parent: GossipMember): GossipMember[] {
+  const index = order.findIndex(({ name }) => name === parent.name);
+  if (index < 0) return [];
+  const first = fanOut * (index + 1);
   return order.slice(first, first + fanOut);
 }
 
 /**
- * Decides for one entry whether it watches the store, whom it asks for newer revisions and whom it
- * tells of them. Views of members may differ between entries: that costs calls, never correctness.
+ * Decides for one entry whether it watches the store, which peers it asks for newer revisions and which
+ * ones it notifies of them. Entries may have different views of the members: this costs calls but
+ * never affects correctness.
  */
 export class GossipTopology {
   private members: readonly GossipMember[] = [];
 
-  private neighbours: readonly GossipMember[];
+  /** This entry and the other entries of its data centre. */
+  private localMembers: readonly GossipMember[];
 
-  private others: readonly GossipMember[] = [];
+  private remoteMembers: readonly GossipMember[] = [];
 
-  private line: readonly GossipMember[];
+  /** The local members in the order in which they become watchers. */
+  private watchOrder: readonly GossipMember[];
 
   private readonly suspectedAt = new Map<string, number>();
 
-  /** Latest time at which a peer was known to reach the store. */
-  private readonly reachedAt = new Map<string, number>();
+  /** Last time at which each peer is known to have reached the store. */
+  private readonly storeContactAt = new Map<string, number>();
 
-  private ownReachedAt: number;
+  private ownStoreContactAt: number;
 
   constructor(
     private readonly self: GossipMember,
-    private readonly times: GossipTimeouts,
+    private readonly timeouts: GossipTimeouts,
     private readonly random: Random,
     nowMs: number,
   ) {
-    this.neighbours = [self];
-    this.line = [self];
-    this.ownReachedAt = nowMs;
+    this.localMembers = [self];
+    this.watchOrder = [self];
+    this.ownStoreContactAt = nowMs;
   }
 
-  /** Takes the known entries of all data centres; this one counts even when it is not listed. */
+  /** Replaces the known entries of all data centres; this entry is included even if not listed. */
   setMembers(members: readonly GossipMember[]): void {
     if (members === this.members) return;
     this.members = members;
     const { self } = this;
-    const isNeighbour = ({ dataCentre, name }: GossipMember): boolean =>
+    const isLocalPeer = ({ dataCentre, name }: GossipMember): boolean =>
       dataCentre === self.dataCentre && name !== self.name;
-    this.neighbours = [self, ...members.filter(isNeighbour)];
-    this.others = members.filter(({ dataCentre }) => dataCentre !== self.dataCentre);
-    this.line = rendezvousOrder(`watch/${self.dataCentre}`, this.neighbours, nameOf);
+    this.localMembers = [self, ...members.filter(isLocalPeer)];
+    this.remoteMembers = members.filter(({ dataCentre }) => dataCentre !== self.dataCentre);
+    this.watchOrder = rendezvousOrder(`watch/${self.dataCentre}`, this.localMembers, getName);
   }
 
-  /** A peer answered and told for how long the store has been silent to it. */
+  /** Records a peer's response, with the time since the peer reached the store. */
   recordResponse({ name, dataCentre }: GossipMember, silenceMs: number, nowMs: number): void {
     this.suspectedAt.delete(name);
-    if (dataCentre === this.self.dataCentre) this.reachedAt.set(name, nowMs - silenceMs);
+    if (dataCentre === this.self.dataCentre) this.storeContactAt.set(name, nowMs - silenceMs);
   }
 
-  /** A peer did not answer. */
+  /** Records that a peer failed to respond. */
   recordFailure({ name }: GossipMember, nowMs: number): void {
     this.suspectedAt.set(name, nowMs);
   }
 
-  /** This entry reached the store. */
+  /** Records that this entry reached the store. */
   recordStoreContact(nowMs: number): void {
-    this.ownReachedAt = nowMs;
+    this.ownStoreContactAt = nowMs;
   }
 
   /** Time since this entry reached the store, in milliseconds. */
   silenceMs(nowMs: number): number {
-    return nowMs - this.ownReachedAt;
+    return nowMs - this.ownStoreContactAt;
   }
 
   /** Whether this entry is to watch the store. */
   shouldWatch(nowMs: number): boolean {
-    const alive = this.line.filter((member) => !this.isSuspected(member, nowMs));
-    const place = alive.findIndex(({ name }) => name === this.self.name);
-    const working = alive.slice(0, place).filter(({ name }) => !this.isSilent(name, nowMs));
-    return place < maxWatchers && working.length < watchersPerDataCentre;
+    const alive = this.watchOrder.filter((member) => !this.isSuspected(member, nowMs));
+    const index = alive.findIndex(({ name }) => name === this.self.name);
+    const working = alive.slice(0, index).filter(({ name }) => !this.lacksStore(name, nowMs));
+    return index < maxWatchers && working.length < watchersPerDataCentre;
   }
 
-  /** The peers to compare revisions with in one round. */
+  /** Selects the peers to compare revisions with in one round. */
   selectPeers(isNewcomer: boolean, nowMs: number): GossipMember[] {
-    const before = this.checked(nowMs);
-    const rest = this.neighbours.filter(
-      (member) => member !== this.self && !before.includes(member),
+    const checked = this.selectChecked(nowMs);
+    const rest = this.localMembers.filter(
+      (member) => member !== this.self && !checked.includes(member),
     );
-    const asked = pick(rest, isNewcomer ? newcomerPeers : 1, this.random);
-    const crosses = this.shouldWatch(nowMs) || rest.length === 0;
-    const remote = crosses ? pick(this.others, 1, this.random) : [];
-    const chosen = [...before, ...asked, ...remote];
-    return [...new Set(chosen)].filter(({ name }) => name !== this.self.name);
+    const local = pickRandom(rest, isNewcomer ? bootstrapPeers : 1, this.random);
+    const asksRemote = this.shouldWatch(nowMs) || rest.length === 0;
+    const remote = asksRemote ? pickRandom(this.remoteMembers, 1, this.random) : [];
+    const selected = [...checked, ...local, ...remote];
+    return [...new Set(selected)].filter(({ name }) => name !== this.self.name);
   }
 
-  /** The peers to tell of a revision; one that came from the store is told to the roots, too. */
+  /** The peers to notify of a revision: the children, and the roots if it was read from the store. */
   notifyTargets(revision: number, isFromStore: boolean): GossipMember[] {
-    const order = this.orderOf(revision);
+    const order = this.revisionOrder(revision);
     const roots = isFromStore ? order.slice(0, fanOut) : [];
-    const told = [...roots, ...childrenIn(order, this.self)];
-    return [...new Set(told)].filter(({ name }) => name !== this.self.name);
+    const targets = [...roots, ...getChildren(order, this.self)];
+    return [...new Set(targets)].filter(({ name }) => name !== this.self.name);
   }
 
-  /** The peers that a peer would have told, had it answered. */
+  /** The peers to notify in place of a peer that failed to respond. */
   notifyTargetsOf(peer: GossipMember, revision: number): GossipMember[] {
-    const children = childrenIn(this.orderOf(revision), peer);
+    const children = getChildren(this.revisionOrder(revision), peer);
     return children.filter(({ name }) => name !== this.self.name);
   }
 
-  /** The members before this one in the line when it is among the first that live. */
-  private checked(nowMs: number): readonly GossipMember[] {
-    const place = this.line.findIndex(({ name }) => name === this.self.name);
-    const before = this.line.slice(0, place);
+  /** The members before this entry in the watch order, if this entry is one of those that check them. */
+  private selectChecked(nowMs: number): readonly GossipMember[] {
+    const index = this.watchOrder.findIndex(({ name }) => name === this.self.name);
+    const before = this.watchOrder.slice(0, index);
     const alive = before.filter((member) => !this.isSuspected(member, nowMs));
-    return alive.length < lineLength ? before.slice(0, mostChecked) : [];
+    return alive.length < checkingEntries ? before.slice(0, maxChecked) : [];
   }
 
-  private orderOf(revision: number): GossipMember[] {
-    return rendezvousOrder(`revision/${revision}`, this.neighbours, nameOf);
+  private revisionOrder(revision: number): GossipMember[] {
+    return rendezvousOrder(`revision/${revision}`, this.localMembers, getName);
   }
 
   private isSuspected({ name }: GossipMember, nowMs: number): boolean {
     const at = this.suspectedAt.get(name);
-    return at !== undefined && nowMs - at < this.times.suspectMs;
+    return at !== undefined && nowMs - at < this.timeouts.suspectMs;
   }
 
-  private isSilent(name: string, nowMs: number): boolean {
-    const at = this.reachedAt.get(name);
-    return at !== undefined && nowMs - at > this.times.silenceMs;
+  private lacksStore(name: string, nowMs: number): boolean {
+    const at = this.storeContactAt.get(name);
+    return at !== undefined && nowMs - at > this.timeouts.silenceMs;
   }
 }
--- a/packages/decisions/src/verdicts.ts
+++ b/packages/decisions/src/verdicts.ts
@@ -1,12 +1,12 @@
-/** What is known of a request that was running when an endpoint died. */
+/** State of a request that was running when an endpoint died. */
 export const VerdictState = {
-  /** May have caused the death: runs alone until that is known. */
+  /** May have caused the death; runs alone until that is known. */
   suspect: 'suspect',
-  /** Caused a death while it ran alone: refused. */
+  /** Caused a death while it ran alone; refused. */
   convicted: 'convicted',
-  /** Ran alone and ended well. */
+  /** Ran alone and completed. */
   cleared: 'cleared',
-  /** An operator lets it run again. */
+  /** An operator permits it to run again. */
   lifted: 'lifted',
 } as const;
 
@@ -15,16 +15,16 @@
 
 /** How an endpoint was lost. */
 export const EndpointLoss = {
-  /** The endpoint died beside a living agent. */
+  /** The endpoint died while its agent kept running. */
   endpoint: 'endpoint',
-  /** The agent is gone too: the instance may have failed for another reason. */
+  /** The agent is lost too, so the instance may have failed for another reason. */
   instance: 'instance',
 } as const;
 
 /** One of the values of {@link EndpointLoss}. */
 export type EndpointLoss = (typeof EndpointLoss)[keyof typeof EndpointLoss];
 
-/** What names the requests that a verdict covers. */
+/** Identifies the requests that a verdict covers. */
 export interface SuspectRequest {
   readonly fingerprint: string;
   readonly workspace: string;
@@ -33,31 +33,31 @@
 
 /** A verdict on all requests with one fingerprint. */
 export interface Verdict extends SuspectRequest {
-  /** Grows with each change; the higher one wins. */
+  /** Increases with each change; the higher one wins. */
   readonly version: number;
   readonly state: VerdictState;
-  /** Evidence from runs alone; see `evidenceOf`. */
+  /** Evidence from losses while it ran alone; see `lossEvidence`. */
   readonly deaths: number;
   /** Why an operator lifted it. */
   readonly reason: string;
-  /** Monotonic time of this process at which the verdict ends, in milliseconds. */
+  /** Monotonic time of this process at which the verdict expires, in milliseconds. */
   readonly endsAt: number;
 }
 
-/** A verdict as sent to another process, which has another clock. */
+/** A verdict as sent to another process, whose clock differs. */
 export type SharedVerdict = Omit<Verdict, 'endsAt' | 'state'> & {
   readonly state: string;
   readonly remainingMs: number;
 };
 
-const mostVerdicts = 5_000;
-const evidenceNeeded = 2;
+const maxVerdicts = 5_000;
+const convictionEvidence = 2;
 
-/** The loss of a whole instance convicts only when it happens twice. */
-const evidenceOf: Readonly<Record<EndpointLoss, number>> = { endpoint: 2, instance: 1 };
+/** Evidence by kind of loss: the loss of a whole instance convicts only when it happens twice. */
+const lossEvidence: Readonly<Record<EndpointLoss, number>> = { endpoint: 2, instance: 1 };
 
-/** Of two verdicts with the same version the one further on in this order wins. */
-const severity: readonly string[] = [
+/** Precedence of states, ascending; decides between two verdicts with the same version. */
+const precedence: readonly string[] = [
   VerdictState.cleared,
   VerdictState.suspect,
   VerdictState.lifted,
@@ -66,12 +66,13 @@
 
 function wins(a: { version: number; state: string }, b: { version: number; state: string }) {
   if (a.version !== b.version) return a.version > b.version;
-  return severity.indexOf(a.state) > severity.indexOf(b.state);
+  return precedence.indexOf(a.state) > precedence.indexOf(b.state);
 }
 
 /**
- * Finds requests that crash endpoints. A death makes all that ran there suspects; a suspect runs
- * alone, and a death then convicts it, so that requests that only ran beside it stay innocent.
+ * Finds requests that crash endpoints. All requests that were running when an endpoint died become
+ * suspects. A suspect runs alone, and another death then convicts it, so that requests that merely ran
+ * beside it aren't convicted.
  */
 export class VerdictStore {
   private readonly verdicts = new Map<string, Verdict>();
@@ -79,67 +80,67 @@
   constructor(private readonly keepMs: number) {}
 
   getState(fingerprint: string, now: number): VerdictState | undefined {
-    return this.present(fingerprint, now)?.state;
+    return this.getActive(fingerprint, now)?.state;
   }
 
-  /** An endpoint was lost under a request; returns the verdict when it changed. */
+  /** Records that an endpoint was lost while it ran a request; returns the verdict when it changed. */
   recordLoss(
     suspect: SuspectRequest,
     loss: EndpointLoss,
     alone: boolean,
     now: number,
   ): Verdict | undefined {
-    const present = this.present(suspect.fingerprint, now);
-    if (present?.state === VerdictState.convicted) return undefined;
-    if (present?.state !== VerdictState.suspect) {
-      return this.change(suspect, VerdictState.suspect, 0, now);
+    const active = this.getActive(suspect.fingerprint, now);
+    if (active?.state === VerdictState.convicted) return undefined;
+    if (active?.state !== VerdictState.suspect) {
+      return this.update(suspect, VerdictState.suspect, 0, now);
     }
     if (!alone) return undefined;
-    const deaths = present.deaths + evidenceOf[loss];
-    const guilty = deaths >= evidenceNeeded;
-    const state = guilty ? VerdictState.convicted : VerdictState.suspect;
-    return this.change(suspect, state, deaths, now);
+    const deaths = active.deaths + lossEvidence[loss];
+    const isConvicted = deaths >= convictionEvidence;
+    const state = isConvicted ? VerdictState.convicted : VerdictState.suspect;
+    return this.update(suspect, state, deaths, now);
   }
 
-  /** A suspect ended well while it ran alone; returns the verdict when it changed. */
+  /** Records that a suspect completed while it ran alone; returns the verdict when it changed. */
   recordSurvival(suspect: SuspectRequest, now: number): Verdict | undefined {
     if (this.getState(suspect.fingerprint, now) !== VerdictState.suspect) return undefined;
-    return this.change(suspect, VerdictState.cleared, 0, now);
+    return this.update(suspect, VerdictState.cleared, 0, now);
   }
 
-  /** Lets a convicted request run again; undefined when there is no such conviction. */
+  /** Permits a convicted request to run again; undefined when there is no such conviction. */
   lift(fingerprint: string, reason: string, now: number): Verdict | undefined {
-    const present = this.present(fingerprint, now);
-    if (present?.state !== VerdictState.convicted) return undefined;
-    return this.change(present, VerdictState.lifted, 0, now, reason);
+    const active = this.getActive(fingerprint, now);
+    if (active?.state !== VerdictState.convicted) return undefined;
+    return this.update(active, VerdictState.lifted, 0, now, reason);
   }
 
-  /** Takes verdicts of another process; returns those that were news. */
+  /** Merges verdicts of another process; returns those that were adopted. */
   merge(shared: readonly SharedVerdict[], now: number): Verdict[] {
     return shared.flatMap((verdict) => {
       const { fingerprint, workspace, service, version, deaths, reason, remainingMs } = verdict;
       const state = Object.values(VerdictState).find((value) => value === verdict.state);
-      const present = this.present(fingerprint, now);
-      if (!state || remainingMs <= 0 || (present && !wins(verdict, present))) return [];
+      const active = this.getActive(fingerprint, now);
+      if (!state || remainingMs <= 0 || (active && !wins(verdict, active))) return [];
       const endsAt = now + Math.min(remainingMs, this.keepMs);
       const suspect = { fingerprint, workspace, service };
-      return [this.keep({ ...suspect, version, state, deaths, reason, endsAt })];
+      return [this.set({ ...suspect, version, state, deaths, reason, endsAt })];
     });
   }
 
-  /** The verdicts in force, for another process. */
+  /** The active verdicts, to be sent to another process. */
   snapshot(now: number): SharedVerdict[] {
     return [...this.verdicts.values()]
       .filter(({ endsAt }) => endsAt > now)
       .map(({ endsAt, ...rest }) => ({ ...rest, remainingMs: Math.ceil(endsAt - now) }));
   }
 
-  private present(fingerprint: string, now: number): Verdict | undefined {
+  private getActive(fingerprint: string, now: number): Verdict | undefined {
     const verdict = this.verdicts.get(fingerprint);
     return verdict && verdict.endsAt > now ? verdict : undefined;
   }
 
-  private change(
+  private update(
     { fingerprint, workspace, service }: SuspectRequest,
     state: VerdictState,
     deaths: number,
@@ -148,14 +149,14 @@
   ): Verdict {
     const version = (this.verdicts.get(fingerprint)?.version ?? 0) + 1;
     const endsAt = now + this.keepMs;
-    return this.keep({ fingerprint, workspace, service, version, state, deaths, reason, endsAt });
+    return this.set({ fingerprint, workspace, service, version, state, deaths, reason, endsAt });
   }
 
-  private keep(verdict: Verdict): Verdict {
-    // Written last means dropped last, so that the oldest one goes when there are too many.
+  private set(verdict: Verdict): Verdict {
+    // Reinsertion at the end of the map keeps it ordered by last change; the oldest is evicted.
     this.verdicts.delete(verdict.fingerprint);
     this.verdicts.set(verdict.fingerprint, verdict);
-    if (this.verdicts.size > mostVerdicts) {
+    if (this.verdicts.size > maxVerdicts) {
       const [oldest] = this.verdicts.keys();
       if (oldest) this.verdicts.delete(oldest);
     }
--- a/packages/decisions/src/workRate.ts
+++ b/packages/decisions/src/workRate.ts
@@ -1,7 +1,7 @@
 const windowMs = 500;
 const smoothing = 0.4;
 
-/** Smoothed rate of finished work. */
+/** Exponentially smoothed rate of finished work. */
 export class WorkRate {
   private units = 0;
 
@@ -9,7 +9,7 @@
 
   private smoothed = 0;
 
-  /** Work units finished in a millisecond; 0 while unknown. */
+  /** Work units finished per millisecond; 0 while unknown. */
   get perMs(): number {
     return this.smoothed;
   }
@@ -25,7 +25,7 @@
     this.startedAt = now;
   }
 
-  /** Forgets the rate after a change of the endpoint's state. */
+  /** Discards the rate after a change of the endpoint's state. */
   reset(): void {
     this.units = 0;
     this.startedAt = undefined;
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -319,7 +319,7 @@
 
   private async recheck(gapMs: number): Promise<void> {
     this.metrics.count('pauses');
-    this.directory.members.skipPause(gapMs);
+    this.directory.members.compensatePause(gapMs);
     this.exchange.nudge();
     await this.configuration.spreader.refresh(AbortSignal.timeout(recheckMs));
   }
