--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -40,7 +40,7 @@
   },
   {
     name: 'conditional claim',
-    file: 'packages/decisions/dist/claims.js',
+    file: 'packages/decisions/dist/claimStore.js',
     find: 'JSON.stringify(record), { ifRevision, lease }, signal)',
     replace: 'JSON.stringify(record), { lease }, signal)',
     test: 'At most once: resent order',
--- a/bench/src/mutations/soakMutations.ts
+++ b/bench/src/mutations/soakMutations.ts
@@ -27,7 +27,7 @@
   },
   {
     name: 'no repeat of what may have run',
-    file: 'packages/decisions/dist/forwarding/attemptResult.js',
+    file: 'packages/decisions/dist/forwarding/responseClassification.js',
     find: 'return isRetryable || execution === Execution.notRun;',
     replace: 'return true;',
     test,
--- a/packages/decisions/src/forwarding/servedShares.ts
+++ b/packages/decisions/src/forwarding/servedRatios.ts
@@ -1,4 +1,4 @@
-import { SlidingWindowCounter } from './slidingCount.js';
+import { SlidingWindowCounter } from './slidingWindowCounter.js';
 
 const windowMs = 6_000;
 /** Requests at the overall ratio that are added to each group, to damp small samples. */
--- a/packages/decisions/src/forwarding/sharedRetryBudget.ts
+++ b/packages/decisions/src/forwarding/sharedRetryBudget.ts
@@ -1,4 +1,4 @@
-import { SlidingWindowCounter } from './slidingCount.js';
+import { SlidingWindowCounter } from './slidingWindowCounter.js';
 
 /** Limit on the retries to one service by all entries together. */
 export interface RetryLimit {
--- a/packages/decisions/src/forwarding/waitingLine.ts
+++ b/packages/decisions/src/forwarding/waitQueue.ts
@@ -1,4 +1,4 @@
-import { SlidingWindowCounter } from './slidingCount.js';
+import { SlidingWindowCounter } from './slidingWindowCounter.js';
 
 /** Decay of all workspaces' served counts with each served request. */
 const servedDecay = 0.98;
