--- a/features/steps/forwarding.steps.ts
+++ b/features/steps/forwarding.steps.ts
@@ -74,8 +74,8 @@
   for (let request = 0; request < 200; request += 1) {
     const now = request * 20;
     const isBad = random.next() < 0.4;
-    grey.recordAttempt(isBad ? AttemptOutcome.failed : AttemptOutcome.answered, now);
-    sound.recordAttempt(AttemptOutcome.answered, now);
+    grey.recordAttempt(isBad ? AttemptOutcome.failed : AttemptOutcome.responded, now);
+    sound.recordAttempt(AttemptOutcome.responded, now);
   }
   const end = 200 * 20;
   assert.ok(grey.failureRate(end) > 0.25, `grey ${grey.failureRate(end)}`);
@@ -92,7 +92,7 @@
   assert.ok(!health.isAvailable(0, 1_100));
   assert.ok(health.isAvailable(0, 1_300));
   assert.ok(!health.isAvailable(1, 1_300), 'a second request waits for the first');
-  health.recordAttempt(AttemptOutcome.answered, 1_320);
+  health.recordAttempt(AttemptOutcome.responded, 1_320);
   assert.ok(health.isAvailable(3, 1_320));
 });
 
--- a/features/steps/misleadingEndpoints.steps.ts
+++ b/features/steps/misleadingEndpoints.steps.ts
@@ -28,7 +28,7 @@
     this.health = new EndpointHealth();
     for (let request = 0; request < 5; request += 1) {
       assert.ok(this.health.isAvailable(0, 1_000 + request));
-      this.health.recordAttempt(AttemptOutcome.erred, 1_000 + request);
+      this.health.recordAttempt(AttemptOutcome.serverError, 1_000 + request);
     }
   },
 );
@@ -40,7 +40,7 @@
 });
 
 Then('one answer brings it back', function back(this: MisleadingWorld) {
-  this.health.recordAttempt(AttemptOutcome.answered, 1_320);
+  this.health.recordAttempt(AttemptOutcome.responded, 1_320);
   assert.ok(this.health.isAvailable(3, 1_320));
 });
 
@@ -49,7 +49,7 @@
   const health = new EndpointHealth();
   for (let request = 0; request < 2_000; request += 1) {
     const errs = random.next() < 0.14;
-    health.recordAttempt(errs ? AttemptOutcome.erred : AttemptOutcome.answered, request * stepMs);
+    health.recordAttempt(errs ? AttemptOutcome.serverError : AttemptOutcome.responded, request * stepMs);
     assert.ok(health.isAvailable(3, request * stepMs), `request ${request}`);
   }
 });
@@ -70,7 +70,7 @@
     this.pauses = [1, 2, 3].map(() => {
       const pause = fail(this.health, wordTimes[times]!, now);
       now += pause;
-      this.health.recordAttempt(AttemptOutcome.answered, now);
+      this.health.recordAttempt(AttemptOutcome.responded, now);
       return pause;
     });
   },
--- a/packages/decisions/src/forwarding/endpointHealth.ts
+++ b/packages/decisions/src/forwarding/endpointHealth.ts
@@ -1,9 +1,9 @@
 /** How an attempt ended, as far as the endpoint's health is concerned. */
 export const AttemptOutcome = {
   /** The endpoint responded. */
-  answered: 'answered',
+  responded: 'responded',
   /** The endpoint responded with a server error, which the request itself may have caused. */
-  erred: 'erred',
+  serverError: 'serverError',
   /** The endpoint refused the request without running it. */
   refused: 'refused',
   /** The connection broke or could not be opened, or the endpoint timed out. */
@@ -15,16 +15,16 @@
 
 /** Effect of each outcome on the counts of consecutive failures and errors. */
 const handlers: Readonly<Record<AttemptOutcome, (health: EndpointHealth, now: number) => void>> = {
-  [AttemptOutcome.answered]: (health) => health.recordSuccess(),
-  [AttemptOutcome.erred]: (health, now) => health.recordError(now),
+  [AttemptOutcome.responded]: (health) => health.recordSuccess(),
+  [AttemptOutcome.serverError]: (health, now) => health.recordError(now),
   [AttemptOutcome.refused]: (health, now) => health.recordRefusal(now),
   [AttemptOutcome.failed]: (health, now) => health.recordFailure(now),
 };
 
 /** Weight of each outcome in the failure rate. */
 const failureWeights: Readonly<Record<AttemptOutcome, number>> = {
-  [AttemptOutcome.answered]: 0,
-  [AttemptOutcome.erred]: 0.5,
+  [AttemptOutcome.responded]: 0,
+  [AttemptOutcome.serverError]: 0.5,
   [AttemptOutcome.refused]: 0.5,
   [AttemptOutcome.failed]: 1,
 };
--- a/packages/decisions/src/forwarding/responseClassification.ts
+++ b/packages/decisions/src/forwarding/responseClassification.ts
@@ -57,7 +57,7 @@
   if (isSuccess) {
     const isUsable = isSigned && !isEncoded;
     const action = isUsable ? ResponseAction.deliver : ResponseAction.discard;
-    const outcome = isUsable ? AttemptOutcome.answered : AttemptOutcome.failed;
+    const outcome = isUsable ? AttemptOutcome.responded : AttemptOutcome.failed;
     return { action, execution: Execution.unknown, outcome };
   }
   // These statuses tell the caller that the request did not run, which the endpoint has not confirmed.
@@ -70,7 +70,7 @@
   }
   const isError = status >= firstServerError;
   const action = isError ? ResponseAction.deliverIfLast : ResponseAction.deliver;
-  const outcome = isError ? AttemptOutcome.erred : AttemptOutcome.answered;
+  const outcome = isError ? AttemptOutcome.serverError : AttemptOutcome.responded;
   return { action, execution: Execution.ran, outcome };
 }
 
--- a/packages/forwarding/src/streamRun.ts
+++ b/packages/forwarding/src/streamRun.ts
@@ -115,7 +115,7 @@
   private takeOutcome(attempt: Attempt, outcome: StreamOutcome): boolean {
     attempt.ended();
     if (outcome.kind === 'whole') {
-      this.count(attempt.handle, AttemptOutcome.answered);
+      this.count(attempt.handle, AttemptOutcome.responded);
       this.logEnd(attempt);
       return true;
     }
