--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -40,7 +40,7 @@
   },
   {
     name: 'conditional claim',
-    file: 'packages/decisions/dist/claims.js',
+    file: 'packages/decisions/dist/claimStore.js',
     find: 'JSON.stringify(record), { ifRevision, lease }, signal)',
     replace: 'JSON.stringify(record), { lease }, signal)',
     test: 'At most once: resent order',
@@ -48,8 +48,8 @@
   {
     name: 'reconnection after a lost link',
     file: 'packages/decisions/dist/recovery.js',
-    find: 'const mostReconnects = 2;',
-    replace: 'const mostReconnects = 0;',
+    find: 'const maxReconnects = 2;',
+    replace: 'const maxReconnects = 0;',
     test: 'Whole answers: cut connection',
   },
   {
@@ -119,8 +119,8 @@
   {
     name: 'whole window of repeats',
     file: 'packages/decisions/dist/forwarding/sharedRetryBudget.js',
-    find: 'new SlidingCount(windowMs, true)',
-    replace: 'new SlidingCount(windowMs)',
+    find: 'new SlidingWindowCounter(windowMs, true)',
+    replace: 'new SlidingWindowCounter(windowMs)',
     test: 'Bounds that all entries share: repeats of entries that die and are cut off',
   },
   {
--- /dev/null
+++ b/packages/decisions/src/forwarding/waitQueue.ts
@@ -0,0 +1,85 @@
+import { SlidingWindowCounter } from './slidingWindowCounter.js';
+
+/** Decay of all workspaces' served counts with each served request. */
+const servedDecay = 0.98;
+const minServedCount = 0.01;
+/** Window over which the rate of served requests is measured, in milliseconds. */
+const rateWindowMs = 1_000;
+/** Lower bound of that rate, in requests per millisecond. */
+const minRate = 0.01;
+
+/** A request that waits for an endpoint. */
+export interface QueuedRequest {
+  readonly workspace: string;
+  /** 0 is the most urgent. */
+  readonly priority: number;
+  /** Whether the caller retries after a refusal, so that the latency goal has already passed. */
+  readonly isCallerRetry: boolean;
+  /** Monotonic time, in milliseconds. */
+  readonly arrivedAt: number;
+  /** Latest monotonic time at which it can be sent and still meet its latency goal. */
+  readonly startBy: number;
+}
+
+/**
+ * Queue of the requests to one service, ordered by four criteria: requests that can still meet their
+ * latency goal come first, then lower priority numbers, then workspaces with fewer recently served
+ * requests, then earlier arrivals.
+ */
+export class WaitQueue<Item extends QueuedRequest> {
+  private readonly items: Item[] = [];
+
+  /** Decaying count of served requests by workspace. */
+  private readonly served = new Map<string, number>();
+
+  private readonly servedInWindow = new SlidingWindowCounter(rateWindowMs);
+
+  get length(): number {
+    return this.items.length;
+  }
+
+  enqueue(item: Item): void {
+    this.items.push(item);
+  }
+
+  /** Removes a request; returns false when it is not queued. */
+  remove(item: Item): boolean {
+    const index = this.items.indexOf(item);
+    if (index < 0) return false;
+    this.items.splice(index, 1);
+    return true;
+  }
+
+  /** The queued requests in the order in which they are to be dispatched. */
+  inDispatchOrder(now: number): Item[] {
+    if (this.items.length < 2) return [...this.items];
+    const isLate = (item: Item): number => (item.isCallerRetry || now > item.startBy ? 1 : 0);
+    return [...this.items].sort(
+      (a, b) =>
+        isLate(a) - isLate(b) ||
+        a.priority - b.priority ||
+        this.servedCount(a.workspace) - this.servedCount(b.workspace) ||
+        a.arrivedAt - b.arrivedAt,
+    );
+  }
+
+  /** Time until one more request would be dispatched at the rate of the last second, in milliseconds. */
+  expectedWaitMs(now: number): number {
+    const rate = Math.max(minRate, this.servedInWindow.total(now) / rateWindowMs);
+    return this.items.length / rate;
+  }
+
+  recordServed(workspace: string, now: number): void {
+    this.servedInWindow.add(1, now);
+    this.served.forEach((count, name) => {
+      const next = count * servedDecay;
+      if (next < minServedCount) this.served.delete(name);
+      else this.served.set(name, next);
+    });
+    this.served.set(workspace, this.servedCount(workspace) + 1);
+  }
+
+  private servedCount(workspace: string): number {
+    return this.served.get(workspace) ?? 0;
+  }
+}
--- a/packages/entry/src/attemptRunner.ts
+++ b/packages/entry/src/attemptRunner.ts
@@ -73,7 +73,7 @@
     switch (content.case) {
       case 'tokens': {
         const { firstIndex, texts } = content.value;
-        const newTokens = partial.assembly.take(firstIndex, texts);
+        const newTokens = partial.assembly.append(firstIndex, texts);
         if (newTokens.length === 0) return undefined;
         partial.setWeights(weights);
         const fromIndex = newTokens[0]!.index;
--- a/packages/entry/src/configurationReplicator.ts
+++ b/packages/entry/src/configurationReplicator.ts
@@ -1,6 +1,6 @@
 import { Timeout, toFailure } from '@laburnumstream/common';
 import type { Clock, Instance, Log, Metrics, Random } from '@laburnumstream/common';
-import { Spread } from '@laburnumstream/decisions';
+import { GossipTopology } from '@laburnumstream/decisions';
 import { DocumentSource } from './configurationReplica.js';
 import type { ConfigurationReplica } from './configurationReplica.js';
 import type { ConfigurationPeers } from './configurationPeers.js';
@@ -21,7 +21,7 @@
  * few peers in each round, and new revisions are announced along a tree.
  */
 export class ConfigurationReplicator {
-  private readonly topology: Spread;
+  private readonly topology: GossipTopology;
 
   private watchAbort: AbortController | undefined;
 
@@ -41,7 +41,7 @@
     private readonly log: Log,
   ) {
     const timeouts = { suspectMs, silenceMs: watchMs + silenceGraceMs };
-    this.topology = new Spread(self, timeouts, random, clock.now());
+    this.topology = new GossipTopology(self, timeouts, random, clock.now());
   }
 
   /** Whether this entry watches the store. */
@@ -82,7 +82,7 @@
   /** Asks several peers at once for a newer configuration; resolves with the first response. */
   async refresh(signal: AbortSignal): Promise<void> {
     this.topology.setMembers(this.entries());
-    const syncs = this.resolvePeers(this.topology.round(true, this.clock.now())).map(
+    const syncs = this.resolvePeers(this.topology.selectPeers(true, this.clock.now())).map(
       async (peer) => {
         if (!(await this.syncWith(peer, signal))) throw new Timeout(`${peer.name} did not answer.`);
       },
@@ -104,19 +104,19 @@
     if (!shouldWatch) return;
     this.watchAbort = new AbortController();
     const watchSignal = AbortSignal.any([signal, this.watchAbort.signal]);
-    void this.watcher.run(() => this.topology.reachedStore(this.clock.now()), watchSignal);
+    void this.watcher.run(() => this.topology.recordStoreContact(this.clock.now()), watchSignal);
     this.log.debug('Watching the store.');
   }
 
   private syncWithPeers(isUninitialized: boolean, signal: AbortSignal): void {
-    const peers = this.resolvePeers(this.topology.round(isUninitialized, this.clock.now()));
+    const peers = this.resolvePeers(this.topology.selectPeers(isUninitialized, this.clock.now()));
     peers.forEach((peer) => void this.syncWith(peer, signal));
   }
 
   private async syncWith(peer: Instance, signal: AbortSignal): Promise<boolean> {
     try {
       const result = await this.peers.sync(peer, this.replica.configuration.revision, signal);
-      this.topology.answered(peer, result.storeSilenceMs, this.clock.now());
+      this.topology.recordResponse(peer, result.storeSilenceMs, this.clock.now());
       if (result.document) this.replica.adopt(result.document, DocumentSource.peer);
       else this.replica.checkDivergence(result.revision, result.changeId);
       return true;
@@ -127,7 +127,7 @@
   }
 
   private recordPeerFailure(peer: Instance, error: unknown): void {
-    this.topology.failed(peer, this.clock.now());
+    this.topology.recordFailure(peer, this.clock.now());
     this.metrics.count('configuration_peer_failed');
     this.log.debug('Configuration peer did not respond.', {
       peer: peer.name,
@@ -140,7 +140,7 @@
     source: DocumentSource,
     signal: AbortSignal,
   ): Promise<void> {
-    const recipients = this.topology.tellees(revision, source === DocumentSource.store);
+    const recipients = this.topology.notifyTargets(revision, source === DocumentSource.store);
     await this.announceTo(recipients, revision, maxSkippedLevels, signal);
   }
 
@@ -158,7 +158,7 @@
         } catch (error) {
           if (signal.aborted) return;
           this.recordPeerFailure(peer, error);
-          const children = this.topology.telleesOf(peer, revision);
+          const children = this.topology.notifyTargetsOf(peer, revision);
           if (levelsToSkip > 0) await this.announceTo(children, revision, levelsToSkip - 1, signal);
         }
       }),
--- a/packages/entry/src/crashGuard.ts
+++ b/packages/entry/src/crashGuard.ts
@@ -1,7 +1,12 @@
 import { CrashingRequest, Execution, NotFound } from '@laburnumstream/common';
 import type { Clock, Instance, Log, Metrics, Random } from '@laburnumstream/common';
-import { VerdictBook, VerdictState } from '@laburnumstream/decisions';
-import type { Loss, SharedVerdict, Suspect, Verdict } from '@laburnumstream/decisions';
+import { VerdictStore, VerdictState } from '@laburnumstream/decisions';
+import type {
+  EndpointLoss,
+  SharedVerdict,
+  SuspectRequest,
+  Verdict,
+} from '@laburnumstream/decisions';
 import { createClient } from '@laburnumstream/links';
 import type { LinkPool } from '@laburnumstream/links';
 import { EntryService } from '@laburnumstream/protocol';
@@ -12,7 +17,7 @@
 
 /** Refuses requests that crash endpoints; shares the verdicts on them with all other entries. */
 export class CrashGuard {
-  private readonly verdicts: VerdictBook;
+  private readonly verdicts: VerdictStore;
 
   constructor(
     private readonly links: LinkPool,
@@ -23,12 +28,12 @@
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {
-    this.verdicts = new VerdictBook(retentionMs);
+    this.verdicts = new VerdictStore(retentionMs);
   }
 
   /** Whether the request must run alone; throws `CrashingRequest` when it has been convicted. */
-  mustRunAlone({ fingerprint }: Suspect): boolean {
-    const state = this.verdicts.stateOf(fingerprint, this.clock.now());
+  mustRunAlone({ fingerprint }: SuspectRequest): boolean {
+    const state = this.verdicts.getState(fingerprint, this.clock.now());
     if (state === VerdictState.convicted) {
       this.metrics.count('requests_refused_as_crashing');
       throw new CrashingRequest(Execution.notRun);
@@ -40,19 +45,19 @@
    * Records that an endpoint was lost while it ran the request. Other entries get the verdict
    * before the request is retried.
    */
-  async recordLoss(suspect: Suspect, loss: Loss, alone: boolean): Promise<void> {
-    await this.broadcast(this.verdicts.lost(suspect, loss, alone, this.clock.now()));
+  async recordLoss(suspect: SuspectRequest, loss: EndpointLoss, alone: boolean): Promise<void> {
+    await this.broadcast(this.verdicts.recordLoss(suspect, loss, alone, this.clock.now()));
   }
 
   /** Records that a suspect completed while it ran alone. */
-  async recordSurvival(suspect: Suspect): Promise<void> {
-    await this.broadcast(this.verdicts.survived(suspect, this.clock.now()));
+  async recordSurvival(suspect: SuspectRequest): Promise<void> {
+    await this.broadcast(this.verdicts.recordSurvival(suspect, this.clock.now()));
   }
 
   /** The convictions in force. */
   convictions(): SharedVerdict[] {
     const { convicted } = VerdictState;
-    return this.verdicts.share(this.clock.now()).filter(({ state }) => state === convicted);
+    return this.verdicts.snapshot(this.clock.now()).filter(({ state }) => state === convicted);
   }
 
   /** Lifts a conviction; throws `NotFound`. */
@@ -68,7 +73,7 @@
     this.verdicts.merge(theirs, now);
     const versions = new Map(theirs.map(({ fingerprint, version }) => [fingerprint, version]));
     return this.verdicts
-      .share(now)
+      .snapshot(now)
       .filter(({ fingerprint, version }) => version > (versions.get(fingerprint) ?? 0));
   }
 
@@ -77,7 +82,7 @@
     while (!signal.aborted) {
       const peers = this.peers();
       const peer = peers[Math.floor(this.random.next() * peers.length)];
-      if (peer) await this.exchangeWith(peer, this.verdicts.share(this.clock.now()));
+      if (peer) await this.exchangeWith(peer, this.verdicts.snapshot(this.clock.now()));
       await this.clock.sleep(exchangeIntervalMs, signal).catch(() => undefined);
     }
   }
--- a/packages/entry/src/dispatchState.ts
+++ b/packages/entry/src/dispatchState.ts
@@ -1,5 +1,5 @@
 import { EndpointDied, Execution, Failure, LinkLost, Timeout } from '@laburnumstream/common';
-import { Loss, Recovery, recoveryOf } from '@laburnumstream/decisions';
+import { EndpointLoss, Recovery, decideRecovery } from '@laburnumstream/decisions';
 import { usesIdempotencyKey } from './callerRequest.js';
 import type { CallerRequest } from './callerRequest.js';
 import { PartialResponse } from './partialResponse.js';
@@ -15,7 +15,7 @@
 
   private attemptCount = 0;
 
-  private lastLoss: Loss | undefined;
+  private lastLoss: EndpointLoss | undefined;
 
   private dispatchCount = 0;
 
@@ -77,7 +77,7 @@
   }
 
   /** How the endpoint was lost in the last failure; undefined when it was not lost. */
-  get loss(): Loss | undefined {
+  get loss(): EndpointLoss | undefined {
     return this.lastLoss;
   }
 
@@ -90,16 +90,16 @@
     const { reconnects } = this;
     this.lastLoss = this.classifyLoss(failure);
     const repeatability = { nonIdempotent, keyed: usesIdempotencyKey(this.request) };
-    const recovery = recoveryOf(repeatability, { failure, linkLost, reconnects });
+    const recovery = decideRecovery(repeatability, { failure, linkLost, reconnects });
     if (recovery === Recovery.reconnect) this.reconnects += 1;
     return recovery;
   }
 
-  private classifyLoss(failure: Failure): Loss | undefined {
-    if (failure.type === EndpointDied.type) return Loss.endpoint;
+  private classifyLoss(failure: Failure): EndpointLoss | undefined {
+    if (failure.type === EndpointDied.type) return EndpointLoss.endpoint;
     // An agent that accepted the request and now refuses connections was lost with its instance.
     const refused = failure instanceof LinkLost && failure.execution === Execution.notRun;
-    return refused && this.reconnects > 0 ? Loss.instance : undefined;
+    return refused && this.reconnects > 0 ? EndpointLoss.instance : undefined;
   }
 
   /** The failure to report to the caller: `not run` only when that holds for every attempt. */
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -324,7 +324,7 @@
 
   private async resyncAfterPause(gapMs: number): Promise<void> {
     this.metrics.count('pauses');
-    this.directory.members.resume(gapMs);
+    this.directory.members.compensatePause(gapMs);
     this.gossip.triggerExchange();
     await this.configurationService.replicator.refresh(AbortSignal.timeout(resyncTimeoutMs));
   }
--- a/packages/entry/src/memberDirectory.ts
+++ b/packages/entry/src/memberDirectory.ts
@@ -1,5 +1,5 @@
 import type { Clock, Random } from '@laburnumstream/common';
-import { MemberState, Membership, ReturnRamp, Standing } from '@laburnumstream/decisions';
+import { MemberState, Membership, SlowStart, MemberStatus } from '@laburnumstream/decisions';
 import type { Candidate, MemberRecord, UnfitVersion } from '@laburnumstream/decisions';
 import { toMemberRecord } from '@laburnumstream/links';
 import type { EndpointLoad, Member } from '@laburnumstream/protocol';
@@ -44,7 +44,7 @@
   /** Agents that this entry could not reach, with the incarnation that it tried. */
   private readonly unreachableIncarnations = new Map<string, number>();
 
-  private readonly ramp: ReturnRamp;
+  private readonly ramp: SlowStart;
 
   private agentsByService = new Map<string, MemberRecord[]>();
 
@@ -61,13 +61,13 @@
     const suspectMs = timeoutMs * suspectRatio;
     const bounds = { suspectMs, timeoutMs, dataCentreTimeoutMs, retentionMs };
     this.members = new Membership(dataCentre, bounds);
-    this.ramp = new ReturnRamp(returnRampMs);
+    this.ramp = new SlowStart(returnRampMs);
   }
 
   /** Records a member's heartbeat; returns the newest known incarnation of the member. */
   recordHeartbeat(member: Member): number {
     const record = toMemberRecord(member);
-    const known = this.members.hear(record, this.clock.now());
+    const known = this.members.recordHeartbeat(record, this.clock.now());
     if (known === record.incarnation) this.recordLoad(record, member.load);
     return known;
   }
@@ -75,7 +75,7 @@
   /** Merges a record received from another entry. */
   mergeRecord(member: Member): void {
     const record = toMemberRecord(member);
-    if (this.members.learn(record, this.clock.now())) this.recordLoad(record, undefined);
+    if (this.members.mergeRecord(record, this.clock.now())) this.recordLoad(record, undefined);
   }
 
   /** Updates an agent's load from a response. */
@@ -111,7 +111,7 @@
   /** Records which data centres are in service; one that returns ramps up from little work. */
   updateRamps(isIn: (dataCentre: string) => boolean): void {
     const now = this.clock.now();
-    const dataCentres = new Set(this.members.present().map(({ dataCentre }) => dataCentre));
+    const dataCentres = new Set(this.members.presentRecords().map(({ dataCentre }) => dataCentre));
     dataCentres.forEach((dataCentre) => {
       if (this.ramp.update(dataCentre, isIn(dataCentre), now)) this.resetLimits(dataCentre);
     });
@@ -120,7 +120,9 @@
   /** Whether a data centre is ramping up, so that `candidates` varies from call to call. */
   get isRamping(): boolean {
     const now = this.clock.now();
-    return this.members.present().some(({ dataCentre }) => this.ramp.share(dataCentre, now) < 1);
+    return this.members
+      .presentRecords()
+      .some(({ dataCentre }) => this.ramp.share(dataCentre, now) < 1);
   }
 
   /** The agents of a service that may get new work. */
@@ -130,7 +132,7 @@
       ({ name, dataCentre }) =>
         isOpen(dataCentre) &&
         !this.unreachableIncarnations.has(name) &&
-        this.members.standing(name, now) === Standing.alive,
+        this.members.status(name, now) === MemberStatus.alive,
     );
     const withheld = this.selectWithheld(open, now);
     const admitted =
@@ -141,7 +143,7 @@
   /** All agents that are not gone. */
   get liveMembers(): readonly LiveMember[] {
     return this.members
-      .present()
+      .presentRecords()
       .filter(({ role }) => role === 'agent')
       .map(({ name, dataCentre, service, state, serving, unfit }) => {
         const { inFlight, limit, queued } = this.getLoad(name);
@@ -195,7 +197,7 @@
 
   /** Resets admission limits after a data centre's return, as its endpoints are cold. */
   private resetLimits(dataCentre: string): void {
-    this.members.present().forEach((record) => {
+    this.members.presentRecords().forEach((record) => {
       const load = this.loads.get(record.name);
       if (load && record.dataCentre === dataCentre) load.limit = initialLimit;
     });
@@ -208,7 +210,7 @@
 
   private rebuildIndex(): void {
     this.agentsByService = new Map();
-    this.members.present().forEach((record) => {
+    this.members.presentRecords().forEach((record) => {
       if (record.role !== 'agent') return;
       const agents = this.agentsByService.get(record.service) ?? [];
       agents.push(record);
--- a/packages/entry/src/membershipGossip.ts
+++ b/packages/entry/src/membershipGossip.ts
@@ -5,7 +5,7 @@
   chooseRemotes,
   choosePartners,
   isBridge,
-  Standing,
+  MemberStatus,
 } from '@laburnumstream/decisions';
 import type { MemberRecord, Peer } from '@laburnumstream/decisions';
 import { createClient, toMemberMessage, toMemberRecord } from '@laburnumstream/links';
@@ -146,11 +146,11 @@
   private getReachableEntries(): Peer[] {
     const { members } = this.directory;
     const now = this.clock.now();
-    const known = members.present().filter(({ role }) => role === 'entry');
+    const known = members.presentRecords().filter(({ role }) => role === 'entry');
     const listed = this.listEntries().filter(({ name }) => !members.get(name));
     return [...known, ...listed].filter(({ name }) => {
-      const standing = members.get(name) ? members.standing(name, now) : Standing.alive;
-      return standing === Standing.alive || standing === Standing.suspect;
+      const standing = members.get(name) ? members.status(name, now) : MemberStatus.alive;
+      return standing === MemberStatus.alive || standing === MemberStatus.suspect;
     });
   }
 
@@ -171,7 +171,7 @@
     const state = this.leaving ? MemberState.leaving : MemberState.alive;
     const place = { name, region, dataCentre, address, service: '', serving: [], limit: 0 };
     const record = { ...place, role: 'entry' as const, incarnation, beat, state };
-    this.directory.members.hear(record, this.clock.now());
+    this.directory.members.recordHeartbeat(record, this.clock.now());
     return record;
   }
 
@@ -259,7 +259,7 @@
     const now = this.clock.now();
     records.forEach((member) => this.directory.mergeRecord(member));
     dataCentreAges.forEach(({ dataCentre, ageMs }) =>
-      this.directory.members.confirm(dataCentre, ageMs, now),
+      this.directory.members.confirmDataCentre(dataCentre, ageMs, now),
     );
   }
 
@@ -275,7 +275,7 @@
 
   private getDataCentreAges(now: number): { dataCentre: string; ageMs: number }[] {
     return this.directory.members
-      .ages(now)
+      .dataCentreAges(now)
       .map(({ dataCentre, ageMs }) => ({ dataCentre, ageMs: Math.round(ageMs) }));
   }
 
--- a/packages/entry/src/prober.ts
+++ b/packages/entry/src/prober.ts
@@ -74,7 +74,8 @@
     } catch {
       this.links.replace(address);
       const now = this.clock.now();
-      if (now - state.unreachableSince > giveUpAfterMs) this.directory.members.giveUp(name, now);
+      if (now - state.unreachableSince > giveUpAfterMs)
+        this.directory.members.declareGone(name, now);
     }
   }
 }
--- a/packages/entry/src/requestDispatcher.ts
+++ b/packages/entry/src/requestDispatcher.ts
@@ -3,7 +3,7 @@
 import {
   Recovery,
   RetryBudget,
-  homeOf,
+  pickHome,
   isDataCentreInService,
   policyFor,
 } from '@laburnumstream/decisions';
@@ -61,7 +61,7 @@
     const scope = { workspace, service, dataCentre };
     const { maxAttempts } = policyFor(this.configuration(), scope, this.wallNow());
     let failure: Failure = new Unavailable('No endpoint can take the request.', retryAfterMs);
-    this.retryBudget.earn(workspace);
+    this.retryBudget.recordRequest(workspace);
     while (state.dispatches < maxAttempts && this.mayDispatch(state)) {
       this.checkVerdict(state);
       const target = this.selectTarget(state);
@@ -88,7 +88,7 @@
 
   /** Whether the retry budget allows another dispatch; the first one is always allowed. */
   private mayDispatch({ dispatches, request }: DispatchState): boolean {
-    if (dispatches === 0 || this.retryBudget.spend(request.workspace)) return true;
+    if (dispatches === 0 || this.retryBudget.tryAcquire(request.workspace)) return true;
     this.metrics.count('retries_over_budget');
     return false;
   }
@@ -123,7 +123,7 @@
       .candidates(request.service, isOpen)
       .filter(({ name }) => !tried.has(name))
       .filter(({ name }) => !weights || this.directory.serves(name, weights));
-    return homeOf(key, candidates, this.settings)?.name;
+    return pickHome(key, candidates, this.settings)?.name;
   }
 
   private async *runAttempt(
--- a/packages/entry/src/router.ts
+++ b/packages/entry/src/router.ts
@@ -1,6 +1,6 @@
 import { hash32 } from '@laburnumstream/common';
 import type { Clock, Random } from '@laburnumstream/common';
-import { RoutingTable, isDataCentreInService, makeTarget } from '@laburnumstream/decisions';
+import { RoutingTable, isDataCentreInService, createTarget } from '@laburnumstream/decisions';
 import type { Candidate, Configuration, Target } from '@laburnumstream/decisions';
 import type { EndpointLoad } from '@laburnumstream/protocol';
 import type { EntrySettings } from '@laburnumstream/runtime';
@@ -124,7 +124,7 @@
   private getTarget(name: string): Target {
     let target = this.targets.get(name);
     if (!target) {
-      target = makeTarget(name);
+      target = createTarget(name);
       this.targets.set(name, target);
     }
     return target;
--- a/packages/forwarding/src/agentLinks.ts
+++ b/packages/forwarding/src/agentLinks.ts
@@ -1,5 +1,5 @@
 import type { Clock, FleetSettings, Log, Metrics, Random } from '@laburnumstream/common';
-import { NewsTellers, reportIntervalMs } from '@laburnumstream/decisions';
+import { NotifierSelection, reportIntervalMs } from '@laburnumstream/decisions';
 import { FleetDatagrams } from '@laburnumstream/links';
 import type { DatagramContent, DatagramHandlers } from '@laburnumstream/links';
 import type { EndpointReport } from '@laburnumstream/protocol';
@@ -27,7 +27,7 @@
 
   private readonly loadBroadcast: LoadBroadcast;
 
-  private readonly notifiers: NewsTellers;
+  private readonly notifiers: NotifierSelection;
 
   /** Revision of the registered entries from which `notifiers` was built. */
   private notifiersRevision = -1;
@@ -50,7 +50,7 @@
       load: (load, { sender }) => this.loadBroadcast.receive(load, sender),
     };
     this.datagrams = new FleetDatagrams(settings.instance, handlers, clock, metrics, log);
-    this.notifiers = new NewsTellers(settings.instance);
+    this.notifiers = new NotifierSelection(settings.instance);
     this.loadBroadcast = new LoadBroadcast(settings, state, directory, this.datagrams, clock);
   }
 
@@ -98,7 +98,7 @@
    * because the entries of their own region may be cut off from the store.
    */
   private shouldSendWeights(
-    { isNear, endpoint }: EndpointHandle,
+    { isLocal: isNear, endpoint }: EndpointHandle,
     namedMsAgo: number,
     isChange: boolean,
   ): boolean {
@@ -106,11 +106,11 @@
     if (!isNear) {
       return (
         namedMsAgo <= bounds.versionMs &&
-        this.notifiers.isAmong(endpoint.address, notifiersPerAgent.remote)
+        this.notifiers.isSelected(endpoint.address, notifiersPerAgent.remote)
       );
     }
     if (isChange || !this.state.entryLocations.has(instance)) return true;
-    return this.notifiers.isAmong(endpoint.address, notifiersPerAgent.local);
+    return this.notifiers.isSelected(endpoint.address, notifiersPerAgent.local);
   }
 
   /** Updates the entries from which notifiers are chosen, if the registered entries have changed. */
@@ -122,12 +122,12 @@
     const localEntries = [...entryLocations].filter(
       ([, { dataCentre }]) => regions.get(dataCentre) === region,
     );
-    this.notifiers.take(localEntries.map(([name]) => name));
+    this.notifiers.setEntries(localEntries.map(([name]) => name));
   }
 
-  private getReportIntervalMs({ isNear, region }: EndpointHandle): number {
-    const { near, far } = this.directory.getCapacitySharers(region);
-    return reportIntervalMs({ entries: isNear ? near : far, isNear });
+  private getReportIntervalMs({ isLocal: isNear, region }: EndpointHandle): number {
+    const { local: near, remote: far } = this.directory.getCapacitySharers(region);
+    return reportIntervalMs({ entries: isNear ? near : far, isLocal: isNear });
   }
 
   private createWeightUpdate({ endpoint, profile }: EndpointHandle): WeightUpdate | undefined {
@@ -168,7 +168,7 @@
     const now = this.clock.now();
     const { running, waiting, pacePermille, version, isSwitching, isAnswering } = report;
     const sharers = this.directory.getCapacitySharers(handle.region);
-    const load = { running, waiting, pace: pacePermille / permille };
+    const load = { running, waiting, slowdown: pacePermille / permille };
     handle.applyLoadReport(load, sharers, this.random, now);
     if (handle.reportedVersion !== version || handle.isSwitching !== isSwitching) {
       this.log.info('Engine changed.', { endpoint: handle.id, version, isSwitching, isAnswering });
--- a/packages/forwarding/src/callerServer.ts
+++ b/packages/forwarding/src/callerServer.ts
@@ -10,7 +10,7 @@
   Route,
   Workspace,
 } from '@laburnumstream/common';
-import { drawService } from '@laburnumstream/decisions';
+import { pickService } from '@laburnumstream/decisions';
 import type { RouteTable } from '@laburnumstream/decisions';
 import { callerDisconnected, deadlineExceeded } from './exchange.js';
 import type { Exchange } from './exchange.js';
@@ -146,7 +146,7 @@
       const timeoutMs = Math.min(head.timeLeftMs ?? route.timeoutMs, route.timeoutMs);
       timer = setTimeout(() => controller.abort(deadlineExceeded), timeoutMs);
       const body = await readBody(request, routes.configuration.limits.maxBodyBytes);
-      const service = drawService(route, this.random);
+      const service = pickService(route, this.random);
       if (service === undefined) throw new NotFound('The route has no service.');
       const { signal } = controller;
       const deadlineAt = arrivedAt + timeoutMs;
@@ -175,7 +175,7 @@
 
   private findRoute(routes: RouteTable, { headers, url = '/' }: IncomingMessage): Route {
     const { host = '' } = headers;
-    const route = routes.find(host.split(':')[0]!, getPath(url));
+    const route = routes.match(host.split(':')[0]!, getPath(url));
     if (!route) throw this.toMissingFailure(new NotFound('No route matches the host and path.'));
     return route;
   }
@@ -190,7 +190,7 @@
       throw new Refusal(RefusalReason.oldProof, message, retryDelayMs);
     }
     if (head.key === undefined) throw new Unauthenticated('A key is required.');
-    const workspace = routes.workspaceOf(head.key);
+    const workspace = routes.findWorkspace(head.key);
     if (!workspace) throw this.toMissingFailure(new Unauthenticated('The key is unknown.'));
     return workspace;
   }
--- a/packages/forwarding/src/dispatchQueue.ts
+++ b/packages/forwarding/src/dispatchQueue.ts
@@ -1,12 +1,12 @@
 import type { Clock, Log, Metrics, Random } from '@laburnumstream/common';
-import { ServedShares, WaitingLine, bestPlacement } from '@laburnumstream/decisions';
-import type { Demand, Placement, WaitingRequest } from '@laburnumstream/decisions';
+import { ServedRatios, WaitQueue, bestPlacement } from '@laburnumstream/decisions';
+import type { Demand, Placement, QueuedRequest } from '@laburnumstream/decisions';
 import type { Eligibility } from './endpointDirectory.js';
 import type { EndpointHandle } from './endpointHandle.js';
 import { Refusal, RefusalReason } from './refusal.js';
 
 /** A request for an endpoint. */
-export interface PlacementRequest extends WaitingRequest {
+export interface PlacementRequest extends QueuedRequest {
   readonly id: string;
   readonly service: string;
   readonly demand: Demand;
@@ -69,9 +69,9 @@
 
 /** Queues requests until an endpoint can serve them in time, and refuses those that would be too late. */
 export class DispatchQueue {
-  private readonly queues = new Map<string, WaitingLine<PendingRequest>>();
+  private readonly queues = new Map<string, WaitQueue<PendingRequest>>();
 
-  private readonly shares = new Map<string, ServedShares>();
+  private readonly shares = new Map<string, ServedRatios>();
 
   private isRecheckScheduled = false;
 
@@ -87,8 +87,8 @@
   place(request: PlacementRequest, signal: AbortSignal): Promise<Placement<EndpointHandle>> {
     const now = this.clock.now();
     const queue = this.getQueue(request.service);
-    if (!request.isReturned)
-      this.getShares(request.service).countAsked(request.fairnessGroups, now);
+    if (!request.isCallerRetry)
+      this.getShares(request.service).recordArrival(request.fairnessGroups, now);
     const candidate: Candidate = { ...request, availableCount: undefined };
     const placement = queue.length === 0 ? this.findPlacement(candidate, now) : undefined;
     if (placement) return Promise.resolve(this.recordPlacement(request, placement, now));
@@ -100,7 +100,7 @@
         if (queue.remove(queued)) reject(DispatchQueue.createAbortRefusal());
       };
       signal.addEventListener('abort', abort, { once: true });
-      queue.add(queued);
+      queue.enqueue(queued);
       this.dispatch(request.service);
       this.scheduleRecheck();
     });
@@ -115,7 +115,7 @@
     if (!queue || queue.length === 0) return;
     const now = this.clock.now();
     const among = changed && [changed];
-    queue.ordered(now).forEach((queued) => {
+    queue.inDispatchOrder(now).forEach((queued) => {
       const placement = this.findPlacement(queued, now, among);
       if (placement) {
         queue.remove(queued);
@@ -158,23 +158,23 @@
     if (!best) return undefined;
     const availableMs =
       (request.goalAt - now - responseTransitMs) * this.getGoalShare(request, now);
-    if (!request.isReturned && best.expectedMs <= availableMs) return best;
+    if (!request.isCallerRetry && best.expectedMs <= availableMs) return best;
     const { load, slots } = best.target;
-    const isLate = request.isReturned || now > request.startBy;
+    const isLate = request.isCallerRetry || now > request.startBy;
     const unreservedSlots = slots - Math.ceil(slots * reservedSlotShare);
-    return isLate && load.occupied(now) < unreservedSlots ? best : undefined;
+    return isLate && load.outstanding(now) < unreservedSlots ? best : undefined;
   }
 
   private getGoalShare({ service, fairnessGroups }: PlacementRequest, now: number): number {
     const { base, min, max, perLead } = goalShare;
-    const share = base - this.getShares(service).lead(fairnessGroups, now) * perLead;
+    const share = base - this.getShares(service).surplus(fairnessGroups, now) * perLead;
     return Math.min(max, Math.max(min, share));
   }
 
   /** Whether a request that is sent at `startAt` can still be useful. */
   private mayWait(request: PlacementRequest, startAt: number): boolean {
     if (!this.directory.canServe(request.service, request.eligibility)) return false;
-    if (request.isReturned) return startAt - request.arrivedAt < maxCallerRetryWaitMs;
+    if (request.isCallerRetry) return startAt - request.arrivedAt < maxCallerRetryWaitMs;
     return startAt <= request.startBy;
   }
 
@@ -184,19 +184,19 @@
     now: number,
   ): Placement<EndpointHandle> {
     const { target, expectedMs } = placement;
-    this.getQueue(request.service).countServed(request.workspace, now);
-    if (!request.isReturned)
-      this.getShares(request.service).countServed(request.fairnessGroups, now);
+    this.getQueue(request.service).recordServed(request.workspace, now);
+    if (!request.isCallerRetry)
+      this.getShares(request.service).recordServed(request.fairnessGroups, now);
     this.metrics.observe('request_wait', now - request.arrivedAt);
     this.log.info('Request placed.', {
       id: request.id,
       service: request.service,
       endpoint: target.id,
       expectedMs: Math.round(expectedMs),
-      occupied: target.load.occupied(now),
+      occupied: target.load.outstanding(now),
       reportAgeMs: Math.round(target.load.reportAgeMs(now)),
       waitedMs: Math.round(now - request.arrivedAt),
-      isReturned: request.isReturned,
+      isReturned: request.isCallerRetry,
       leftMs: Math.round(request.goalAt - now),
       unreadMs: Math.round(target.load.unreadMs(now)),
     });
@@ -212,7 +212,7 @@
       id,
       service,
       waitedMs: Math.round(now - request.arrivedAt),
-      isReturned: request.isReturned,
+      isReturned: request.isCallerRetry,
       isRepeatable: isRetryable,
       endpoints: this.directory.forService(service).length,
       usable:
@@ -228,19 +228,19 @@
     return new Refusal(RefusalReason.deadline, 'The request was aborted while it was queued.', 0);
   }
 
-  private getShares(service: string): ServedShares {
+  private getShares(service: string): ServedRatios {
     let shares = this.shares.get(service);
     if (!shares) {
-      shares = new ServedShares();
+      shares = new ServedRatios();
       this.shares.set(service, shares);
     }
     return shares;
   }
 
-  private getQueue(service: string): WaitingLine<PendingRequest> {
+  private getQueue(service: string): WaitQueue<PendingRequest> {
     let queue = this.queues.get(service);
     if (!queue) {
-      queue = new WaitingLine();
+      queue = new WaitQueue();
       this.queues.set(service, queue);
     }
     return queue;
--- a/packages/forwarding/src/endpointCall.ts
+++ b/packages/forwarding/src/endpointCall.ts
@@ -1,6 +1,6 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import { Aborted, Execution } from '@laburnumstream/common';
-import { judgeAnswer } from '@laburnumstream/decisions';
+import { classifyResponse } from '@laburnumstream/decisions';
 import type { Dispatcher } from 'undici';
 import type { ConnectionPool } from './connectionPool.js';
 import type { EndpointConnection } from './endpointConnection.js';
@@ -190,7 +190,7 @@
   private isOwnResponse(status: number, head: ResponseHead): boolean {
     const { requestId } = head;
     if (requestId !== undefined) return requestId === this.request.id;
-    const { execution } = judgeAnswer({ status, ...head });
+    const { execution } = classifyResponse({ status, ...head });
     return !this.connection.isReused || execution === Execution.notRun;
   }
 
--- a/packages/forwarding/src/endpointDirectory.ts
+++ b/packages/forwarding/src/endpointDirectory.ts
@@ -6,8 +6,8 @@
   Random,
   ServiceProfile,
 } from '@laburnumstream/common';
-import { EndpointHealth, mayBeginOn } from '@laburnumstream/decisions';
-import type { RoomSharers } from '@laburnumstream/decisions';
+import { EndpointHealth, isVersionEligible } from '@laburnumstream/decisions';
+import type { CapacitySharers } from '@laburnumstream/decisions';
 import type { EndpointSource } from './dispatchQueue.js';
 import { EndpointHandle, engineQueueLimits } from './endpointHandle.js';
 import { EndpointState } from './endpointState.js';
@@ -133,17 +133,17 @@
   /** Counts a request that is about to be sent against the rate limit of a cold start. */
   recordSend(handle: EndpointHandle): void {
     const now = this.clock.now();
-    if (now < handle.coldUntil) handle.coldRate.take(this.getColdRateShare(handle), now);
+    if (now < handle.coldUntil) handle.coldRate.record(this.getColdRateShare(handle), now);
   }
 
   /** Returns the entries that share the capacity of the endpoints of a region. */
-  getCapacitySharers(region: string): RoomSharers {
+  getCapacitySharers(region: string): CapacitySharers {
     const { regions, region: own } = this.settings;
     const isInRegion = (dataCentre: string): boolean => regions.get(dataCentre) === region;
     const isNear = region === own;
     const near = Math.max(isNear ? 1 : 0, this.state.countEntries(isInRegion));
     const far = Math.max(isNear ? 0 : 1, this.state.entryCount - near);
-    return { near, far, isNear };
+    return { local: near, remote: far, isLocal: isNear };
   }
 
   private addOrUpdate(endpoint: Endpoint, profile: ServiceProfile | undefined): void {
@@ -158,7 +158,7 @@
     const isNear = region === this.settings.region;
     const { clock, metrics } = this;
     const peers = (): number =>
-      Math.max(0, this.getCapacitySharers(region).near - (isNear ? 1 : 0));
+      Math.max(0, this.getCapacitySharers(region).local - (isNear ? 1 : 0));
     const phase = this.random.next();
     const handle = new EndpointHandle(
       endpoint,
@@ -180,14 +180,14 @@
     const health = this.formerHealth.get(id);
     if (!health) return new EndpointHealth();
     this.formerHealth.delete(id);
-    health.restarted(this.clock.now());
+    health.recordRestart(this.clock.now());
     return health;
   }
 
   private pruneFormerHealth(): void {
     const now = this.clock.now();
     this.formerHealth.forEach((health, id) => {
-      if (!health.hasFallen(now)) this.formerHealth.delete(id);
+      if (!health.hasRecentOutage(now)) this.formerHealth.delete(id);
     });
   }
 
@@ -222,7 +222,7 @@
     const model = profile?.engine?.models[0]?.name;
     if (version === undefined || model === undefined) return false;
     const outdatedAt = this.state.namedVersions(model)?.outdatedAt(version) ?? Infinity;
-    return mayBeginOn({
+    return isVersionEligible({
       outdatedMs: now - outdatedAt,
       graceMs: this.settings.bounds.versionMs,
       reportAgeMs: handle.load.reportAgeMs(now),
@@ -231,7 +231,7 @@
 
   /** Whether an endpoint is neither ejected after failures nor silent. */
   private static isHealthy(handle: EndpointHandle, now: number): boolean {
-    return handle.health.mayTry(handle.load.own, now) && !handle.isSilent(now);
+    return handle.health.isAvailable(handle.load.ownRequests, now) && !handle.isSilent(now);
   }
 
   private hasCapacity(handle: EndpointHandle, now: number): boolean {
@@ -243,10 +243,13 @@
       Math.floor(((profile?.maxConnections ?? 0) * connectionShare) / entries),
     );
     if (!pool.hasCapacity(maxConnections)) return false;
-    if (handle.model && !handle.load.hasRoom({ ...engineQueueLimits, slots: handle.slots }, now))
+    if (
+      handle.model &&
+      !handle.load.hasCapacity({ ...engineQueueLimits, slots: handle.slots }, now)
+    )
       return false;
     if (now >= coldUntil || !profile || profile.coldPerSecond <= 0) return true;
-    return coldRate.fits(this.getColdRateShare(handle), now);
+    return coldRate.allows(this.getColdRateShare(handle), now);
   }
 
   /** Returns the requests per second that this entry may send to an endpoint during its cold start. */
--- a/packages/forwarding/src/endpointHandle.ts
+++ b/packages/forwarding/src/endpointHandle.ts
@@ -3,10 +3,10 @@
   EndpointHealth,
   EndpointLoad,
   EngineModel,
-  SharedRate,
-  roomShareOf,
+  SharedRateLimiter,
+  capacityShare,
 } from '@laburnumstream/decisions';
-import type { PlacementTarget, ReportedLoad, RoomSharers } from '@laburnumstream/decisions';
+import type { PlacementTarget, ReportedLoad, CapacitySharers } from '@laburnumstream/decisions';
 import { ConnectionPool } from './connectionPool.js';
 
 /** A stream that can be resumed at another endpoint. */
@@ -31,7 +31,7 @@
 
   readonly load: EndpointLoad;
 
-  readonly coldRate: SharedRate;
+  readonly coldRate: SharedRateLimiter;
 
   /** Streams that this entry has open at the endpoint. */
   private readonly streams = new Set<MovableStream>();
@@ -59,7 +59,7 @@
   constructor(
     public endpoint: Endpoint,
     public profile: ServiceProfile | undefined,
-    readonly isNear: boolean,
+    readonly isLocal: boolean,
     readonly region: string,
     clock: Clock,
     metrics: Metrics,
@@ -69,8 +69,8 @@
     phase: number,
     readonly health = new EndpointHealth(),
   ) {
-    this.coldRate = new SharedRate(phase);
-    this.load = new EndpointLoad(peers, isNear);
+    this.coldRate = new SharedRateLimiter(phase);
+    this.load = new EndpointLoad(peers, isLocal);
     this.pool = new ConnectionPool(endpoint.address, clock, metrics);
     this.updateProfile(profile);
   }
@@ -112,10 +112,15 @@
   }
 
   /** Applies a load report of the engine's agent; `sharers` are the entries that share its capacity. */
-  applyLoadReport(load: ReportedLoad, sharers: RoomSharers, random: Random, now: number): void {
+  applyLoadReport(load: ReportedLoad, sharers: CapacitySharers, random: Random, now: number): void {
     const free = this.slots + engineQueueLimits.spare - load.running - load.waiting;
-    const capacity = Math.min(free, this.model?.promptsFor(engineQueueLimits.unreadMs) ?? free);
-    this.load.report(load, this.load.own, roomShareOf(capacity, sharers, random), now);
+    const capacity = Math.min(free, this.model?.promptsWithin(engineQueueLimits.unreadMs) ?? free);
+    this.load.applyReport(
+      load,
+      this.load.ownRequests,
+      capacityShare(capacity, sharers, random),
+      now,
+    );
   }
 
   updateProfile(profile: ServiceProfile | undefined): void {
--- a/packages/forwarding/src/entryCounts.ts
+++ b/packages/forwarding/src/entryCounts.ts
@@ -32,8 +32,8 @@
     const { entryCount, entryLocations } = this.state;
     const now = this.clock.now();
     const isIncluded = entryLocations.has(this.instance);
-    this.retrying.told(entryCount, isIncluded, now);
-    this.sendingToCold.told(entryCount, isIncluded, now);
+    this.retrying.update(entryCount, isIncluded, now);
+    this.sendingToCold.update(entryCount, isIncluded, now);
   }
 
   /** Number of entries that share the connection limits of endpoints. */
@@ -43,11 +43,11 @@
 
   /** Number of entries that share the retry budgets. */
   get forRetries(): number {
-    return this.retrying.at(this.clock.now());
+    return this.retrying.current(this.clock.now());
   }
 
   /** Number of entries that share the rate limit of a cold endpoint. */
   get forColdEndpoints(): number {
-    return this.sendingToCold.at(this.clock.now());
+    return this.sendingToCold.current(this.clock.now());
   }
 }
--- a/packages/forwarding/src/fleetState.ts
+++ b/packages/forwarding/src/fleetState.ts
@@ -184,7 +184,7 @@
   addNamedVersion(model: string, version: number, namedAt: number): void {
     const named = this.namedVersionsByModel.get(model) ?? new NamedVersions();
     if (version <= named.newest) return;
-    named.name(version, namedAt);
+    named.add(version, namedAt);
     this.namedVersionsByModel.set(model, named);
     this.log.info('Version named.', { model, version });
     this.notifyChange();
--- a/packages/forwarding/src/fleetWatcher.ts
+++ b/packages/forwarding/src/fleetWatcher.ts
@@ -1,6 +1,6 @@
 import { HistoryLost, InvalidInput, SleepAwareClock, toFailure } from '@laburnumstream/common';
 import type { Clock, Log, Metrics, StoreChange, StoreFeed } from '@laburnumstream/common';
-import { RemovalHold, changeCollectionMs } from '@laburnumstream/decisions';
+import { DeferredRemovals, changeBatchWindowMs } from '@laburnumstream/decisions';
 import type { FleetChange, FleetCodec } from './fleetChange.js';
 import type { FleetState } from './fleetState.js';
 import { StoreCall, StoreCallCounter } from './storeCallCounter.js';
@@ -57,7 +57,7 @@
 
   private isReachable = true;
 
-  private readonly deferredRemovals = new RemovalHold<FleetChange>();
+  private readonly deferredRemovals = new DeferredRemovals<FleetChange>();
 
   private readonly callCounter: StoreCallCounter;
 
@@ -102,7 +102,7 @@
   /** Timeout of the next watch call; short while the store may be unreachable. */
   private get nextWatchTimeoutMs(): number {
     if (!this.isReachable) return probeWatchTimeoutMs;
-    return this.deferredRemovals.isWaiting ? deferredWatchTimeoutMs : watchTimeoutMs;
+    return this.deferredRemovals.hasPending ? deferredWatchTimeoutMs : watchTimeoutMs;
   }
 
   private async loadSnapshot(signal: AbortSignal): Promise<void> {
@@ -129,7 +129,7 @@
     );
     this.revision = Math.max(after, revision);
     if (changes.length === 0) return;
-    await this.clock.sleep(changeCollectionMs(this.state.entryCount), signal);
+    await this.clock.sleep(changeBatchWindowMs(this.state.entryCount), signal);
   }
 
   /**
@@ -147,7 +147,7 @@
   /** Records a response of the store, before its changes are applied. */
   private recordResponse(): void {
     const now = this.clock.now();
-    if (!this.isReachable) this.deferredRemovals.storeReturned(now - this.lastResponseAt, now);
+    if (!this.isReachable) this.deferredRemovals.storeRecovered(now - this.lastResponseAt, now);
     this.lastResponseAt = now;
     this.changeLookbackMs = 0;
   }
@@ -158,8 +158,8 @@
 
   private applyOrDefer(change: FleetChange, changedAt: number): void {
     const { key, isGone } = getRegistration(change);
-    if (key && !isGone) this.deferredRemovals.release(key);
-    if (key && isGone && this.deferredRemovals.hold(key, change, this.clock.now())) {
+    if (key && !isGone) this.deferredRemovals.cancel(key);
+    if (key && isGone && this.deferredRemovals.defer(key, change, this.clock.now())) {
       this.log.info('Not registered; it may come back.', { key });
       return;
     }
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -8,7 +8,7 @@
   Random,
   StoreFeed,
 } from '@laburnumstream/common';
-import { ConfigurationProof, SharedRetryBudget } from '@laburnumstream/decisions';
+import { ConfigurationFreshness, SharedRetryBudget } from '@laburnumstream/decisions';
 import { CallerServer } from './callerServer.js';
 import { DispatchQueue } from './dispatchQueue.js';
 import { entryGauges } from './entryGauges.js';
@@ -76,7 +76,7 @@
     const { settings, store, fleetCodec, headerCodec, clock, random, metrics, log } = dependencies;
     const { bounds } = settings;
     const proofClock = new SleepAwareClock(clock);
-    const proof = new ConfigurationProof(
+    const proof = new ConfigurationFreshness(
       bounds.revocationMs * proofAgeShare,
       bounds.configurationMs + missingSlackMs,
     );
@@ -146,8 +146,8 @@
       [Repetition.stream]: new StreamForwarder(services),
     };
     const freshness = {
-      mayAcceptKeys: () => !bounds.refusesWithoutProof || proof.mayHonour(proofClock.now()),
-      mayReportMissing: () => proof.mayDeny(proofClock.now()),
+      mayAcceptKeys: () => !bounds.refusesWithoutProof || proof.mayAcceptKeys(proofClock.now()),
+      mayReportMissing: () => proof.mayReportMissing(proofClock.now()),
       ageMs: () => proof.ageMs(proofClock.now()),
     };
     this.callers = new CallerServer(
--- a/packages/forwarding/src/loadBroadcast.ts
+++ b/packages/forwarding/src/loadBroadcast.ts
@@ -42,7 +42,7 @@
     const { peers } = this;
     if (peers.length === 0) return;
     const shares = this.engines
-      .filter(({ load }) => load.own > 0)
+      .filter(({ load }) => load.ownRequests > 0)
       .map(({ endpoint, load }) => {
         const { requests, unreadMs } = load.ownLoad;
         return { address: endpoint.address, requests, unreadMs: Math.round(unreadMs) };
@@ -56,7 +56,7 @@
     const reported = new Map(shares.map((share) => [share.address, share]));
     this.engines.forEach(({ endpoint, load }) => {
       const { requests = 0, unreadMs = 0 } = reported.get(endpoint.address) ?? {};
-      load.hear(sender, { requests, unreadMs }, now);
+      load.updatePeer(sender, { requests, unreadMs }, now);
     });
   }
 
@@ -69,6 +69,6 @@
   }
 
   private get engines(): EndpointHandle[] {
-    return [...this.directory.all].filter(({ model, isNear }) => model && isNear);
+    return [...this.directory.all].filter(({ model, isLocal: isNear }) => model && isNear);
   }
 }
--- a/packages/forwarding/src/requestAttempts.ts
+++ b/packages/forwarding/src/requestAttempts.ts
@@ -1,6 +1,6 @@
 import { Execution, OutcomeUnknown } from '@laburnumstream/common';
 import type { Clock, Failure, Log, Metrics } from '@laburnumstream/common';
-import { mayRepeat } from '@laburnumstream/decisions';
+import { mayRetry } from '@laburnumstream/decisions';
 import type { Placement, SharedRetryBudget } from '@laburnumstream/decisions';
 import type { Attempt, FailedAttempt } from './attempt.js';
 import type { DispatchQueue, PlacementRequest } from './dispatchQueue.js';
@@ -62,7 +62,7 @@
     private readonly isRetryable: boolean,
   ) {
     const { budget, clock } = services;
-    budget.earn(exchange.service, clock.now());
+    budget.recordRequest(exchange.service, clock.now());
   }
 
   /** Waits for an endpoint; rejects with a typed failure if there is none. */
@@ -86,9 +86,9 @@
     this.tried.add(handle.id);
     const allowed =
       !exchange.signal.aborted &&
-      mayRepeat(this.isRetryable, execution) &&
+      mayRetry(this.isRetryable, execution) &&
       this.executions < Math.max(1, exchange.route.maxAttempts);
-    const isRepeated = allowed && budget.spend(exchange.service, clock.now());
+    const isRepeated = allowed && budget.tryAcquire(exchange.service, clock.now());
     metrics.count(isRepeated ? 'requests_repeated' : 'attempts_failed');
     if (fault) metrics.count(`attempts_${fault}`);
     log.info('Attempt failed.', {
@@ -114,7 +114,7 @@
     const tried = new Set([...this.tried, handle.id]);
     return (
       directory.canServe(exchange.service, this.eligibility(tried)) &&
-      budget.fits(exchange.service, clock.now())
+      budget.allows(exchange.service, clock.now())
     );
   }
 
@@ -123,7 +123,7 @@
     const { exchange, services } = this;
     if (!this.isRetryable || this.executions + 1 >= exchange.route.maxAttempts) return false;
     const now = services.clock.now();
-    if (!services.budget.spendSpare(exchange.service, now)) return false;
+    if (!services.budget.tryAcquireOptional(exchange.service, now)) return false;
     this.tried.add(handle.id);
     this.isMoving = true;
     this.retryingSince = now;
@@ -157,7 +157,7 @@
       workspace: workspace?.name ?? '',
       priority: workspace?.priority ?? route.priority,
       arrivedAt: this.retryingSince ?? arrivedAt,
-      isReturned: this.retryingSince === undefined && this.isCallerRetry(),
+      isCallerRetry: this.retryingSince === undefined && this.isCallerRetry(),
       startBy: model?.latestStart(goalAt, promptTokens) ?? goalAt - plainResponseMs,
       isRetryable: this.isRetryable,
       demand: { promptTokens, answerTokens: outputTokens },
@@ -213,26 +213,26 @@
     const callRequest = { method, path: url, id: head.id, headers, body };
     const maxIdleMs = this.isRetryable ? Infinity : maxNonRetryableIdleMs;
     const call = new EndpointCall(handle.pool, callRequest, maxIdleMs, codec, observer);
-    const prefillMs = handle.model?.readMs(head.promptTokens ?? 0) ?? 0;
+    const prefillMs = handle.model?.prefillMs(head.promptTokens ?? 0) ?? 0;
     let isPrefilled = false;
     let hasEnded = false;
     const markPrefilled = (): void => {
       if (isPrefilled) return;
       isPrefilled = true;
-      handle.load.read(prefillMs);
+      handle.load.recordPrefill(prefillMs);
       onLoadChange();
     };
     const markEnded = (): void => {
       if (hasEnded) return;
       hasEnded = true;
       markPrefilled();
-      handle.load.end();
+      handle.load.recordEnd();
       onLoadChange();
       queue.dispatch(exchange.service, handle);
     };
     directory.recordSend(handle);
     this.sendCount += 1;
-    handle.load.start(prefillMs);
+    handle.load.recordStart(prefillMs);
     onLoadChange();
     call.start();
     return { handle, call, markPrefilled, markEnded };
--- a/packages/forwarding/src/streamSession.ts
+++ b/packages/forwarding/src/streamSession.ts
@@ -1,5 +1,5 @@
 import { Execution, LinkedAbort, OutcomeUnknown, Timeout } from '@laburnumstream/common';
-import { AnswerUse, AttemptSign, judgeAnswer } from '@laburnumstream/decisions';
+import { ResponseAction, AttemptOutcome, classifyResponse } from '@laburnumstream/decisions';
 import type { Placement } from '@laburnumstream/decisions';
 import type { Attempt } from './attempt.js';
 import { RequestAttempts } from './requestAttempts.js';
@@ -115,12 +115,12 @@
   private handleOutcome(attempt: Attempt, outcome: StreamOutcome): boolean {
     attempt.markEnded();
     if (outcome.kind === 'complete') {
-      this.recordHealth(attempt.handle, AttemptSign.answered);
+      this.recordHealth(attempt.handle, AttemptOutcome.responded);
       this.recordCompletion(attempt);
       return true;
     }
     if (outcome.kind === 'response') return this.handleResponse(attempt, outcome);
-    this.recordHealth(attempt.handle, AttemptSign.failed);
+    this.recordHealth(attempt.handle, AttemptOutcome.failed);
     const execution = outcome.fault === CallFault.connection ? Execution.notRun : Execution.unknown;
     const { fault, reason } = outcome;
     if (this.attempts.mayRetry({ attempt, execution, fault, reason })) return false;
@@ -128,8 +128,8 @@
     throw new OutcomeUnknown('The connection to the endpoint failed.');
   }
 
-  private recordHealth(handle: EndpointHandle, sign: AttemptSign): void {
-    handle.health.count(sign, this.services.clock.now());
+  private recordHealth(handle: EndpointHandle, sign: AttemptOutcome): void {
+    handle.health.recordAttempt(sign, this.services.clock.now());
   }
 
   private recordCompletion({ handle, call }: Attempt): void {
@@ -157,7 +157,7 @@
       const stop = (): void => {
         const { wasSent, hasEvents } = relay;
         if (signal.reason === deadlineExceeded && !hasEvents)
-          this.recordHealth(handle, AttemptSign.failed);
+          this.recordHealth(handle, AttemptOutcome.failed);
         relay.abort();
         const execution = wasSent ? Execution.unknown : Execution.notRun;
         reject(new Timeout('The stream did not end in time.', execution));
@@ -176,12 +176,12 @@
     attempt: Attempt,
     { status, head, rawHeaders, body }: Extract<StreamOutcome, { kind: 'response' }>,
   ): boolean {
-    const { use, execution, sign } = judgeAnswer({ status, ...head });
+    const { action: use, execution, outcome: sign } = classifyResponse({ status, ...head });
     this.recordHealth(attempt.handle, sign);
-    const isDeliverable = use === AnswerUse.deliver && !this.hasStarted;
+    const isDeliverable = use === ResponseAction.deliver && !this.hasStarted;
     const failed = { attempt, execution, fault: undefined, reason: `status ${status}` };
     if (!isDeliverable && this.attempts.mayRetry(failed)) return false;
-    if (!this.hasStarted && use !== AnswerUse.discard) {
+    if (!this.hasStarted && use !== ResponseAction.discard) {
       const headers = this.services.codec.encodeResponseHeaders(rawHeaders);
       headers.push('content-length', String(body.length));
       this.exchange.response.writeHead(status, headers);
--- a/packages/sidecar/src/fleetView.ts
+++ b/packages/sidecar/src/fleetView.ts
@@ -101,7 +101,7 @@
     }
     // Entries disagree on the age of a version: the earliest time counts, as the first entry to learn
     // of the version knows its age best.
-    this.namedVersions.name(announcement.version, namedAt);
+    this.namedVersions.add(announcement.version, namedAt);
     this.latest = announcement;
     return (
       !previous ||
