--- a/bench/src/heavyDays/ways.ts
+++ b/bench/src/heavyDays/ways.ts
@@ -115,7 +115,8 @@
         target.load.recordStart(model.prefillMs(promptTokens));
         return handles.indexOf(target);
       },
-      wasRead: (engine, { promptTokens }) => handles[engine]!.load.recordPrefill(model.prefillMs(promptTokens)),
+      wasRead: (engine, { promptTokens }) =>
+        handles[engine]!.load.recordPrefill(model.prefillMs(promptTokens)),
       ended: (engine) => {
         handles[engine]!.load.recordEnd();
         line.dispatch(service);
--- a/packages/decisions/src/weights/holderTransfer.ts
+++ b/packages/decisions/src/weights/holderTransfer.ts
@@ -1,5 +1,5 @@
 import type { Random } from '@laburnumstream/common';
-import { ChunkAssignment } from './chunkRegions.js';
+import { ChunkAssignment } from './chunkAssignment.js';
 import { origin } from './sources.js';
 import type { WeightSource } from './sources.js';
 import type { WeightMember } from './topology.js';
