--- a/bench/src/histories/world.ts
+++ b/bench/src/histories/world.ts
@@ -1,4 +1,4 @@
-import { EndpointRuns, makeRunHandler } from '@laburnumstream/agent';
+import { EndpointRunner, createRunHandler } from '@laburnumstream/agent';
 import type { Permit } from '@laburnumstream/agent';
 import { Overloaded, SeededRandom, optionDefaults, toFailure } from '@laburnumstream/common';
 import type { Log, Metrics } from '@laburnumstream/common';
@@ -169,11 +169,11 @@
       crosses: this.plant === Plant.answersCross,
     });
     const settings = { instance: name, service, dataCentre, options: optionDefaults };
-    const handler = makeRunHandler({
+    const handler = createRunHandler({
       settings: settings as AgentSettings,
       configuration: () => emptyConfiguration,
       gate: { limit: 8, inFlight: 0, queued: 0, acquire: () => this.admit() },
-      endpoint: new EndpointRuns({ plain }, () => ''),
+      endpoint: new EndpointRunner({ plain }, () => ''),
       isSettled: () => true,
       store: new MemoryStorePort(this.store, host),
       clock: host,
--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -13,7 +13,7 @@
   {
     name: 'end of a slot with its lease',
     file: 'packages/agent/dist/slots.js',
-    find: 'return this.clock.now() < slot.until;',
+    find: 'return this.clock.now() < slot.expiresAt;',
     replace: 'return true;',
     test: 'Weight fetch decisions: slot of a paused holder',
   },
@@ -69,7 +69,7 @@
   {
     name: 'wait for running requests at shutdown',
     file: 'packages/agent/dist/agent.js',
-    find: 'while (this.runs.active > 0)',
+    find: 'while (this.runHandler.activeCount > 0)',
     replace: 'while (false)',
     test: 'Whole path: graceful shutdown',
   },
--- a/bench/src/weights/weightWorker.ts
+++ b/bench/src/weights/weightWorker.ts
@@ -1,9 +1,9 @@
 import { createServer } from 'node:http';
 import {
-  ConstantPace,
+  ConstantRateLimiter,
   WeightFetcher,
   WeightPeers,
-  WeightSender,
+  SendScheduler,
   WeightServer,
   WeightStore,
 } from '@laburnumstream/agent';
@@ -47,13 +47,13 @@
   const store = new WeightStore(memoryBytes);
   const list = task.lists[member.region]!;
   const peers = new WeightPeers(member, task.originRegion, () => list);
-  const pace = () => new ConstantPace(clock, task.bytesPerSecond);
-  const server = new WeightServer(store, new WeightSender(pace()), (digest, receiver, chunk) =>
+  const pace = () => new ConstantRateLimiter(clock, task.bytesPerSecond);
+  const server = new WeightServer(store, new SendScheduler(pace()), (digest, receiver, chunk) =>
     sendingPriority(peers.topology(digest), receiver, chunk),
   );
   await serve(member, server);
   const origin = new HttpWeightOrigin(task.origins[member.region]!, timeoutMs);
-  const routes = { origin, peers, receiving: pace(), order: sourceOrders[task.order] };
+  const routes = { origin, peers, receiveLimiter: pace(), order: sourceOrders[task.order] };
   const log = new LoggerFactory(member.name, 'warn').part('weights');
   const fetcher = new WeightFetcher(routes, store, clock, new HistogramMetrics(), log);
   return async () => {
--- a/features/steps/weightTransfer.steps.ts
+++ b/features/steps/weightTransfer.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Slots } from '@laburnumstream/agent';
+import { SwitchSlots } from '@laburnumstream/agent';
 import type { Slot } from '@laburnumstream/agent';
 import {
   FetchFault,
@@ -24,7 +24,7 @@
   weightViews: Map<string, Topology>;
   slotStore: KeyValueStandIn;
   slotClock: { offset: number };
-  slots: Slots;
+  slots: SwitchSlots;
   slot: Slot;
   abortedAt: number;
   takenSlots: (Slot | undefined)[];
@@ -152,8 +152,13 @@
     this.slotStore = await new KeyValueStandIn().start();
     const clock = new ShiftedClock();
     this.slotClock = clock;
-    this.slots = new Slots(new HttpKeyValueStore(this.slotStore.address, 50), clock, leaseMs, 'a');
-    const slot = await this.slots.take('group', 1, new AbortController().signal);
+    this.slots = new SwitchSlots(
+      new HttpKeyValueStore(this.slotStore.address, 50),
+      clock,
+      leaseMs,
+      'a',
+    );
+    const slot = await this.slots.acquire('group', 1, new AbortController().signal);
     assert.ok(slot);
     this.slot = slot;
   },
@@ -167,7 +172,7 @@
   'the store goes down while an order runs under it',
   async function run(this: WeightTransferWorld) {
     this.slotStore.faults.down = true;
-    this.abortedAt = await this.slots.under(
+    this.abortedAt = await this.slots.runWhileHeld(
       this.slot,
       new AbortController().signal,
       (signal) =>
@@ -180,16 +185,16 @@
 
 Then('the order is aborted before the lease ends', function check(this: WeightTransferWorld) {
   assert.ok(this.abortedAt > 0);
-  assert.ok(!this.slots.holds(this.slot));
+  assert.ok(!this.slots.isHeld(this.slot));
 });
 
 When('its holder is paused for longer than the lease', function pause(this: WeightTransferWorld) {
-  assert.ok(this.slots.holds(this.slot));
+  assert.ok(this.slots.isHeld(this.slot));
   this.slotClock.offset = 401;
 });
 
 Then('the slot no longer counts as held', function check(this: WeightTransferWorld) {
-  assert.ok(!this.slots.holds(this.slot));
+  assert.ok(!this.slots.isHeld(this.slot));
 });
 
 When('half of them do not know the last member yet', function differ(this: WeightTransferWorld) {
@@ -234,11 +239,11 @@
   'another endpoint asks for the slot {int} times',
   async function ask(this: WeightTransferWorld, times: number) {
     const store = new HttpKeyValueStore(this.slotStore.address, secondMs);
-    const other = new Slots(store, this.slotClock as ShiftedClock, 4 * secondMs, 'b');
+    const other = new SwitchSlots(store, this.slotClock as ShiftedClock, 4 * secondMs, 'b');
     const { reads, writes } = this.slotStore.calls;
     this.takenSlots = [];
     for (let time = 0; time < times; time += 1) {
-      this.takenSlots.push(await other.take('group', 1, new AbortController().signal));
+      this.takenSlots.push(await other.acquire('group', 1, new AbortController().signal));
     }
     const { calls } = this.slotStore;
     this.slotCalls = { reads: calls.reads - reads, writes: calls.writes - writes };
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -26,31 +26,31 @@
 import type { AgentSettings } from '@laburnumstream/runtime';
 import { ConfigurationFollower } from './configurationFollower.js';
 import { EndpointGate } from './endpointGate.js';
-import { EndpointRuns } from './endpointRuns.js';
+import { EndpointRunner } from './endpointRuns.js';
 import type { Endpoint } from './endpointRuns.js';
 import { openEndpoint } from './openEndpoint.js';
 import { Presence } from './presence.js';
-import type { Report } from './presence.js';
+import type { ChangingDescription } from './presence.js';
 import type { RunHandler } from './runHandler.js';
-import { makeRunHandler } from './runParts.js';
-import { Slots } from './slots.js';
+import { createRunHandler } from './runParts.js';
+import { SwitchSlots } from './slots.js';
 import { WeightFetcher } from './weightFetcher.js';
-import { WeightKeeper } from './weightKeeper.js';
+import { WeightReconciler } from './weightKeeper.js';
 import { WeightPeers } from './weightPeers.js';
-import { ConstantPace } from './pace.js';
-import { WeightSender } from './weightSender.js';
+import { ConstantRateLimiter } from './pace.js';
+import { SendScheduler } from './weightSender.js';
 import { WeightServer } from './weightServer.js';
 import { WeightStore } from './weightStore.js';
 
 const drainPollMs = 20;
 const loadPollMs = 500;
-/** Time in which connections that have no call are closed by both ends, in milliseconds. */
-const goodbyeMs = 200;
+/** Time for both ends to close idle connections at shutdown, in milliseconds. */
+const closeGraceMs = 200;
 const chunkTimeoutMs = 10_000;
 
 type ProcessEvent = 'READY' | 'STOP' | 'DRAINED';
 
-/** One agent process: wires the parts together and owns their lifetimes. */
+/** One agent process: creates its components and owns their lifetimes. */
 export class Agent {
   private readonly clock = new SystemClock();
 
@@ -70,25 +70,25 @@
 
   private readonly presence: Presence;
 
-  private readonly guard: PauseGuard;
+  private readonly pauseGuard: PauseGuard;
 
-  private internal: InternalServer | undefined;
+  private internalServer: InternalServer | undefined;
 
-  private wasOut = false;
+  private wasTakenOut = false;
 
   private readonly instances: Instances;
 
-  private readonly runs: RunHandler;
+  private readonly runHandler: RunHandler;
 
   private readonly endpoint: Endpoint;
 
-  private readonly endpointRuns: EndpointRuns;
+  private readonly endpointRunner: EndpointRunner;
 
-  private readonly weights: WeightStore;
+  private readonly weightStore: WeightStore;
 
-  private readonly peers: WeightPeers;
+  private readonly weightPeers: WeightPeers;
 
-  private readonly keeper: WeightKeeper | undefined;
+  private readonly weightReconciler: WeightReconciler | undefined;
 
   private lifecycle: Lifecycle<ProcessEvent> | undefined;
 
@@ -101,8 +101,8 @@
     this.secrets = new Secrets(settings.secrets);
     const now = (): number => this.clock.now();
     this.links = new LinkPool(this.secrets, options.linkAgeMs, now, this.abort.signal);
-    const weightOf = (workspace: string): number => this.policyOf({ workspace }).weight;
-    this.gate = new EndpointGate(policyDefaults, weightOf, this.clock, this.metrics);
+    const getWeight = (workspace: string): number => this.resolvePolicy({ workspace }).weight;
+    this.gate = new EndpointGate(policyDefaults, getWeight, this.clock, this.metrics);
     this.instances = new Instances(
       new HttpInstanceList(platform.instances, options.platformTimeoutMs),
       this.clock,
@@ -115,48 +115,51 @@
       (configuration) => this.applyConfiguration(configuration),
       logs.part('configuration'),
     );
-    this.presence = this.makePresence();
-    this.guard = new PauseGuard(
+    this.presence = this.createPresence();
+    this.pauseGuard = new PauseGuard(
       this.clock,
       options.pauseLimitMs,
-      () => this.recheck(),
+      () => this.handlePause(),
       logs.part('process'),
     );
     this.endpoint = openEndpoint(settings, this.gate, this.clock);
-    this.endpointRuns = new EndpointRuns(this.endpoint, () => this.keeper?.serving ?? '');
-    this.runs = makeRunHandler({
+    this.endpointRunner = new EndpointRunner(
+      this.endpoint,
+      () => this.weightReconciler?.servedWeights ?? '',
+    );
+    this.runHandler = createRunHandler({
       settings,
       configuration: () => this.follower.configuration,
       gate: this.gate,
-      endpoint: this.endpointRuns,
-      isSettled: () => this.guard.isSettled(),
+      endpoint: this.endpointRunner,
+      isSettled: () => this.pauseGuard.isSettled(),
       store: new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs),
       clock: this.clock,
       metrics: this.metrics,
       log: logs.part('requests'),
       signal: this.abort.signal,
     });
-    this.weights = new WeightStore(options.weightMemoryBytes);
-    this.peers = this.makePeers();
-    this.keeper = this.endpoint.engine && this.makeKeeper();
+    this.weightStore = new WeightStore(options.weightMemoryBytes);
+    this.weightPeers = this.createWeightPeers();
+    this.weightReconciler = this.endpoint.engine && this.createWeightReconciler();
   }
 
-  /** Starts serving; resolves when all servers listen. */
+  /** Starts serving; resolves when all servers are listening. */
   async start(): Promise<void> {
     const { settings, abort } = this;
     const { signal } = abort;
     const { host, port } = splitAddress(settings.listen.internal);
-    this.internal = await serveInternal(
+    this.internalServer = await serveInternal(
       { host, port, secrets: this.secrets },
       (router) => {
         router.service(AgentService, {
           session: (requests, context) =>
             serveSession(
               requests,
-              (request, ended) => this.runs.run(request, ended),
+              (request, ended) => this.runHandler.run(request, ended),
               context.signal,
             ),
-          probe: () => ({ load: this.runs.load() }),
+          probe: () => ({ load: this.runHandler.load() }),
         });
       },
       this.metrics,
@@ -165,99 +168,99 @@
     await this.serveWeights(signal);
     void this.instances.follow(signal);
     void this.presence.heartbeat.run(signal);
-    void this.guard.run(signal);
-    void this.followEndpoint(signal);
-    this.keeper?.start(readChart('weights'), signal);
+    void this.pauseGuard.run(signal);
+    void this.pollEndpoint(signal);
+    this.weightReconciler?.start(readChart('weights'), signal);
     const process = readChart('process');
     this.lifecycle = new Lifecycle(process, {}, this.logs.part('process'), signal);
     this.lifecycle.send('READY');
     this.log.info('Agent started.', { internal: settings.listen.internal });
   }
 
-  /** Puts other shared secrets in force. */
+  /** Replaces the shared secrets. */
   replaceSecrets(secrets: readonly string[]): void {
     this.secrets.replace(secrets);
     this.log.info('Secrets replaced.', { accepted: secrets.length });
   }
 
   /**
-   * Refuses new requests, tells the entries until one has confirmed, waits for running requests
-   * and for late ones of entries that have not heard yet, and ends.
+   * Refuses new requests, notifies the entries until one has confirmed, waits for entries that
+   * still send requests because they were not notified yet, drains running requests and stops.
    */
   async stop(): Promise<void> {
     this.lifecycle?.send('STOP');
-    this.runs.drain();
+    this.runHandler.drain();
     await this.presence.withdraw(this.abort.signal);
     await this.clock.sleep(this.settings.options.leaveNoticeMs);
-    while (this.runs.active > 0) await this.clock.sleep(drainPollMs);
-    await this.internal?.drain(goodbyeMs);
+    while (this.runHandler.activeCount > 0) await this.clock.sleep(drainPollMs);
+    await this.internalServer?.drain(closeGraceMs);
     this.lifecycle?.send('DRAINED');
     this.abort.abort();
   }
 
-  private report(): ReturnType<Report> {
-    const unfit = this.keeper?.unfit;
-    const serving = this.keeper?.servedDigests ?? [];
-    return { serving, load: this.runs.load(), ...(unfit ? { unfit } : {}) };
+  private describeState(): ReturnType<ChangingDescription> {
+    const unfit = this.weightReconciler?.unfitVersion;
+    const serving = this.weightReconciler?.servedDigests ?? [];
+    return { serving, load: this.runHandler.load(), ...(unfit ? { unfit } : {}) };
   }
 
-  private makePresence(): Presence {
+  private createPresence(): Presence {
     return new Presence(
       this.settings,
       this.links,
       () => this.instances.entries,
-      () => this.report(),
+      () => this.describeState(),
       this.follower,
-      () => this.runs.drain(),
+      () => this.runHandler.drain(),
       this.clock,
       this.logs.part('heartbeat'),
     );
   }
 
-  private async recheck(): Promise<void> {
+  private async handlePause(): Promise<void> {
     this.metrics.count('pauses');
-    await this.presence.recheck();
+    await this.presence.refreshConfiguration();
   }
 
   private applyConfiguration(configuration: Configuration): void {
-    const isOut = !isIn(configuration, this.settings.dataCentre);
-    // While it was out, its caches went cold.
-    if (this.wasOut && !isOut) this.gate.turnCold('return');
-    this.wasOut = isOut;
-    this.gate.rebind(this.policyOf({}));
+    const isTakenOut = !isIn(configuration, this.settings.dataCentre);
+    // The caches of the endpoint went cold while its data centre was taken out.
+    if (this.wasTakenOut && !isTakenOut) this.gate.markCold('return');
+    this.wasTakenOut = isTakenOut;
+    this.gate.updatePolicy(this.resolvePolicy({}));
   }
 
-  private makeKeeper(): WeightKeeper {
+  private createWeightReconciler(): WeightReconciler {
     const { settings, logs, clock, metrics } = this;
     const { options, platform, instance } = settings;
-    const routes = {
+    const fetcherOptions = {
       origin: new HttpWeightOrigin(platform.origin, chunkTimeoutMs),
-      peers: this.peers,
-      receiving: new ConstantPace(clock, options.weightBytesPerSecond),
+      peers: this.weightPeers,
+      receiveLimiter: new ConstantRateLimiter(clock, options.weightBytesPerSecond),
     };
     const log = logs.part('weights');
     const store = new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs);
-    return new WeightKeeper(
+    return new WeightReconciler(
       settings,
       () => this.follower.configuration,
-      () => this.runs.load(),
-      () => this.neighbours(),
+      () => this.runHandler.load(),
+      () => this.countLocalEndpoints(),
       this.endpoint.engine!,
-      this.weights,
-      new WeightFetcher(routes, this.weights, clock, metrics, log),
-      new Slots(store, clock, options.slotLeaseMs, instance),
+      this.weightStore,
+      new WeightFetcher(fetcherOptions, this.weightStore, clock, metrics, log),
+      new SwitchSlots(store, clock, options.slotLeaseMs, instance),
       clock,
       metrics,
       log,
     );
   }
 
-  private neighbours(): number {
+  private countLocalEndpoints(): number {
     const { service, dataCentre } = this.settings;
     return this.instances.agentsOf(service).filter((each) => each.dataCentre === dataCentre).length;
   }
 
-  private makePeers(): WeightPeers {
+  private createWeightPeers(): WeightPeers {
     const {
       instance: name,
       region,
@@ -281,9 +284,12 @@
 
   private async serveWeights(signal: AbortSignal): Promise<void> {
     const server = new WeightServer(
-      this.weights,
-      new WeightSender(new ConstantPace(this.clock, this.settings.options.weightBytesPerSecond)),
-      (digest, receiver, chunk) => sendingPriority(this.peers.topology(digest), receiver, chunk),
+      this.weightStore,
+      new SendScheduler(
+        new ConstantRateLimiter(this.clock, this.settings.options.weightBytesPerSecond),
+      ),
+      (digest, receiver, chunk) =>
+        sendingPriority(this.weightPeers.topology(digest), receiver, chunk),
     );
     const listener = await listen(
       this.settings.listen.weights,
@@ -296,25 +302,25 @@
     listener.keepAliveTimeout = optionDefaults.requestTimeoutMs;
   }
 
-  private policyOf(scope: Scope): Policy {
+  private resolvePolicy(scope: Scope): Policy {
     const { dataCentre, service, instance } = this.settings;
     const place = { dataCentre, service, instance, ...scope };
     return policyFor(this.follower.configuration, place, this.clock.wall());
   }
 
-  /** Reads the endpoint's load; another boot id means that it is cold again. */
-  private async followEndpoint(signal: AbortSignal): Promise<void> {
+  /** Polls the endpoint's load; a new boot id means that it is cold again. */
+  private async pollEndpoint(signal: AbortSignal): Promise<void> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     while (!signal.aborted) {
       const report = await source?.load(signal).catch(() => undefined);
-      if (report) this.observe(report);
+      if (report) this.applyLoadReport(report);
       await this.clock.sleep(loadPollMs, signal).catch(() => undefined);
     }
   }
 
-  private observe(report: LoadReport): void {
-    this.gate.report(report);
-    this.endpointRuns.bootId = report.boot;
-    this.keeper?.observe(report);
+  private applyLoadReport(report: LoadReport): void {
+    this.gate.applyReport(report);
+    this.endpointRunner.bootId = report.boot;
+    this.weightReconciler?.observe(report);
   }
 }
--- a/packages/agent/src/claimLeases.ts
+++ b/packages/agent/src/claimLeases.ts
@@ -1,14 +1,14 @@
 import type { Clock, KeyValueStore } from '@laburnumstream/common';
 import type { ClaimLease } from '@laburnumstream/decisions';
 
-/** Share of the keeping time for which new claims join the same lease. */
-const sharedPart = 24;
+/** Leases granted during one retention time; new claims share the lease of the current period. */
+const periodsPerRetention = 24;
 
 /**
- * One lease for all claims of a period, so that the store removes old claims by itself and claims
- * cost no clean-up calls.
+ * One lease for all claims of a period, so that the store expires old claims by itself and no
+ * clean-up calls are needed.
  */
-export class ClaimLeases implements ClaimLease {
+export class SharedClaimLease implements ClaimLease {
   private current: Promise<string> | undefined;
 
   private grantedAt = -Infinity;
@@ -16,15 +16,15 @@
   constructor(
     private readonly store: KeyValueStore,
     private readonly clock: Clock,
-    private readonly keepMs: number,
+    private readonly retentionMs: number,
   ) {}
 
-  /** The lease of the present period. */
+  /** Id of the lease of the current period. */
   take(): Promise<string> {
-    const period = this.keepMs / sharedPart;
-    if (this.current && this.clock.now() - this.grantedAt < period) return this.current;
+    const periodMs = this.retentionMs / periodsPerRetention;
+    if (this.current && this.clock.now() - this.grantedAt < periodMs) return this.current;
     this.grantedAt = this.clock.now();
-    const granted = this.store.grantLease(this.keepMs + period);
+    const granted = this.store.grantLease(this.retentionMs + periodMs);
     this.current = granted;
     granted.catch(() => {
       if (this.current === granted) this.drop();
--- a/packages/agent/src/claimedRuns.ts
+++ b/packages/agent/src/claimedRuns.ts
@@ -20,45 +20,47 @@
 const claimPrefix = 'laburnumstream/claims/';
 const inProgressRetryMs = 1_000;
 const claimTimeoutMs = 1_000;
-/** Time for which claims are refused at once after one has failed. */
-const storePauseMs = 500;
-/** Longest check of a refused request's key, so that a refusal comes at once. */
-const refusalCheckMs = 100;
-/** Most checks at once; beyond them a refusal says `unknown`. */
-const mostRefusalChecks = 32;
+/** Time after a failed claim during which claims fail at once. */
+const storeBackoffMs = 500;
+/** Timeout of the key check of a refused request; short, so that refusals are not delayed. */
+const refusalCheckTimeoutMs = 100;
+/** Concurrent key checks; further refusals leave the use of the key unknown. */
+const maxRefusalChecks = 32;
 
-/** The failure with the knowledge that nothing has run under its key. */
-function keyUnused(error: unknown): Failure {
+/** Adds to a failure that nothing has run under its idempotency key. */
+function withUnusedKey(error: unknown): Failure {
   const { type, message, status, execution, retryAfterMs } = toFailure(error);
   const details = { status, execution, keyUnused: true };
   const retry = retryAfterMs === undefined ? {} : { retryAfterMs };
   return new Failure(type, message, { ...details, ...retry });
 }
 
-function storeKey(request: RunRequest): string {
+function claimKey(request: RunRequest): string {
   return claimPrefix + sha256(runKey(request));
 }
 
-/** Runs requests with an idempotency key: claimed before the run, recorded after it. */
+/**
+ * Runs requests with an idempotency key: claims the key first and records the outcome afterwards.
+ */
 export class ClaimedRuns {
-  private refusalChecks = 0;
+  private activeRefusalChecks = 0;
 
-  private storeDownUntil = -Infinity;
+  private storeBackoffUntil = -Infinity;
 
   constructor(
     private readonly claims: ClaimBook,
     private readonly clock: Clock,
-    private readonly recordedBytes: number,
+    private readonly maxRecordedBytes: number,
     private readonly progressTimeoutMs: number,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {}
 
-  /** Claims the key, then dispatches unless the request's time is over. */
+  /** Claims the key, then dispatches the request unless its deadline has passed. */
   async run(
     request: RunRequest,
     stream: RunStream,
-    overdue: () => boolean,
+    isPastDeadline: () => boolean,
     dispatch: () => Promise<void>,
   ): Promise<void> {
     const claim = await this.claim(request);
@@ -66,32 +68,32 @@
       this.replay(claim.record, request, stream);
       return;
     }
-    // A process that was frozen since the claim must not begin work that nobody awaits.
-    if (overdue()) {
-      await this.releaseQuietly(claim.held);
+    // A process that was suspended during the claim must not start work that nobody waits for.
+    if (isPastDeadline()) {
+      await this.tryRelease(claim.held);
       throw new Timeout('The time of the request was over before it ran.', Execution.notRun);
     }
     try {
       await dispatch();
     } catch (error) {
       if (toFailure(error).execution !== Execution.notRun) throw error;
-      await this.releaseQuietly(claim.held);
-      throw keyUnused(error);
+      await this.tryRelease(claim.held);
+      throw withUnusedKey(error);
     }
-    void this.record(claim.held, stream);
+    void this.recordOutcome(claim.held, stream);
   }
 
-  /** Claims at most for a while; after a failure the store is left alone for a moment. */
+  /** Claims the key within a timeout; backs off from the store after a failure. */
   private async claim(request: RunRequest): Promise<Claim> {
-    if (this.clock.now() < this.storeDownUntil) {
+    if (this.clock.now() < this.storeBackoffUntil) {
       throw new StoreUnavailable('The key-value service was out of reach a moment ago.');
     }
-    const { signal, end } = this.timeout(claimTimeoutMs);
+    const { signal, end } = this.startTimeout(claimTimeoutMs);
     try {
       const { fingerprint } = request;
-      return await this.claims.claim(storeKey(request), randomUUID(), fingerprint, signal);
+      return await this.claims.claim(claimKey(request), randomUUID(), fingerprint, signal);
     } catch (error) {
-      this.storeDownUntil = this.clock.now() + storePauseMs;
+      this.storeBackoffUntil = this.clock.now() + storeBackoffMs;
       this.metrics.count('claims_failed');
       throw new StoreUnavailable('The key cannot be claimed; this copy did not run.', error);
     } finally {
@@ -99,26 +101,29 @@
     }
   }
 
-  /** Completes a refusal made before the claim: what is known of the key decides its wording. */
-  async refuse(request: RunRequest, stream: RunStream, error: unknown): Promise<void> {
+  /**
+   * Completes a refusal made before the claim: replays the recorded outcome of the key, if any, or
+   * throws the failure, marked when nothing has run under the key.
+   */
+  async completeRefusal(request: RunRequest, stream: RunStream, error: unknown): Promise<void> {
     const failure = toFailure(error);
-    if (this.refusalChecks >= mostRefusalChecks) throw failure;
-    this.refusalChecks += 1;
-    const { signal, end } = this.timeout(refusalCheckMs);
+    if (this.activeRefusalChecks >= maxRefusalChecks) throw failure;
+    this.activeRefusalChecks += 1;
+    const { signal, end } = this.startTimeout(refusalCheckTimeoutMs);
     let record: ClaimRecord | undefined;
     try {
-      record = await this.claims.read(storeKey(request), signal);
+      record = await this.claims.read(claimKey(request), signal);
     } catch {
       throw failure;
     } finally {
       end();
-      this.refusalChecks -= 1;
+      this.activeRefusalChecks -= 1;
     }
-    if (!record || record.state === ClaimState.released) throw keyUnused(failure);
+    if (!record || record.state === ClaimState.released) throw withUnusedKey(failure);
     this.replay(record, request, stream);
   }
 
-  private timeout(ms: number): { signal: AbortSignal; end: () => void } {
+  private startTimeout(ms: number): { signal: AbortSignal; end: () => void } {
     const late = new AbortController();
     const done = new AbortController();
     this.clock.sleep(ms, done.signal).then(
@@ -128,7 +133,7 @@
     return { signal: late.signal, end: () => done.abort() };
   }
 
-  /** Answers from a record that another attempt made. */
+  /** Responds from the record of another attempt. */
   private replay(record: ClaimRecord, request: RunRequest, stream: RunStream): void {
     if (record.fingerprint !== request.fingerprint) throw new KeyReused();
     const { answer, state } = record;
@@ -146,20 +151,20 @@
     stream.finish();
   }
 
-  private async record(held: HeldClaim, stream: RunStream): Promise<void> {
-    const { plainAnswer, tokens } = stream;
-    const texts = plainAnswer ? [plainAnswer.body] : tokens;
+  private async recordOutcome(held: HeldClaim, stream: RunStream): Promise<void> {
+    const { plainResponse, tokens } = stream;
+    const texts = plainResponse ? [plainResponse.body] : tokens;
     const bytes = texts.reduce((sum, text) => sum + Buffer.byteLength(text), 0);
-    const answer = { status: plainAnswer?.status ?? 0, texts };
+    const answer = { status: plainResponse?.status ?? 0, texts };
     try {
-      await this.claims.record(held, bytes <= this.recordedBytes ? answer : undefined);
+      await this.claims.record(held, bytes <= this.maxRecordedBytes ? answer : undefined);
     } catch (error) {
       this.metrics.count('outcomes_not_recorded');
       this.log.warn('Outcome not recorded.', { type: toFailure(error).type });
     }
   }
 
-  private async releaseQuietly(held: HeldClaim): Promise<void> {
+  private async tryRelease(held: HeldClaim): Promise<void> {
     await this.claims.release(held).catch((error: unknown) => {
       this.log.warn('Claim not released.', { type: toFailure(error).type });
     });
--- a/packages/agent/src/configurationFollower.ts
+++ b/packages/agent/src/configurationFollower.ts
@@ -7,7 +7,7 @@
 
 const syncTimeoutMs = 2_000;
 
-/** Takes newer configurations from entries; never goes back. */
+/** Fetches newer configurations from entries; never reverts to an older revision. */
 export class ConfigurationFollower {
   private current: Configuration = emptyConfiguration;
 
@@ -23,8 +23,8 @@
     return this.current;
   }
 
-  /** An entry has told its revision: reads the document from it when it is newer. */
-  async offer(entry: Peer, revision: bigint, signal: AbortSignal): Promise<void> {
+  /** Fetches the document from an entry if the entry's revision is newer than the current one. */
+  async syncIfNewer(entry: Peer, revision: bigint, signal: AbortSignal): Promise<void> {
     if (this.syncing || Number(revision) <= this.current.revision) return;
     this.syncing = true;
     try {
@@ -32,13 +32,13 @@
       const request = { configurationRevision: BigInt(this.current.revision) };
       const options = { signal, timeoutMs: syncTimeoutMs };
       const { document } = await client.sync(request, options);
-      if (document) this.adopt(document);
+      if (document) this.apply(document);
     } finally {
       this.syncing = false;
     }
   }
 
-  private adopt(document: string): void {
+  private apply(document: string): void {
     const configuration = parseConfiguration(document);
     if (configuration.revision <= this.current.revision) return;
     this.current = configuration;
--- a/packages/agent/src/endpointGate.ts
+++ b/packages/agent/src/endpointGate.ts
@@ -3,42 +3,42 @@
 import { AdmissionLimit, FairQueue, LatencyJump, WorkRate } from '@laburnumstream/decisions';
 import type { Policy, Priority, Waiter } from '@laburnumstream/decisions';
 
-/** Why a waiting request stopped waiting. */
-type Outcome = 'turn' | 'evicted' | 'late' | 'aborted';
+/** Why a queued request stopped waiting. */
+type WaitOutcome = 'turn' | 'evicted' | 'late' | 'aborted';
 
-/** A request that waits for room at the endpoint. */
-interface WaitingRequest extends Waiter {
-  settle(outcome: Outcome): void;
+/** A request queued for capacity at the endpoint. */
+interface QueuedRequest extends Waiter {
+  settle(outcome: WaitOutcome): void;
   permit: Permit | undefined;
 }
 
 /** Admitted work at the endpoint. */
 export interface Permit {
-  /** Priority towards the engine. */
+  /** Scheduling priority at the engine. */
   readonly priority: Priority;
   /**
-   * Ends the work; `succeeded` tells whether the endpoint answered, `realUnits` what it took where
-   * that is known. Later calls do nothing.
+   * Ends the work. `succeeded` says whether the endpoint responded, `realUnits` the actual work
+   * units where known. Repeated calls have no effect.
    */
   release(succeeded: boolean, realUnits?: number): void;
 }
 
-/** Bounds of the retry-after of a refusal, in milliseconds. */
-const leastRetryAfterMs = 100;
-const mostRetryAfterMs = 5_000;
+/** Bounds of the retry-after of refusals, in milliseconds. */
+const minRetryAfterMs = 100;
+const maxRetryAfterMs = 5_000;
 
-/** Share of the longest wait above which an expected wait leads to a refusal at once. */
-const hopelessShare = 0.5;
+/** Share of the maximum queue time; a request whose expected wait is longer is refused at once. */
+const earlyRefusalShare = 0.5;
 
-/** Holds the work at one endpoint within its limit and serves workspaces fairly. */
+/** Admission control for one endpoint: limits the admitted work and queues workspaces fairly. */
 export class EndpointGate {
   private readonly admission: AdmissionLimit;
 
-  private readonly queue: FairQueue<WaitingRequest>;
+  private readonly queue: FairQueue<QueuedRequest>;
 
-  private readonly latency = new LatencyJump();
+  private readonly latencyJump = new LatencyJump();
 
-  private readonly rate = new WorkRate();
+  private readonly workRate = new WorkRate();
 
   private boot = '';
 
@@ -46,12 +46,12 @@
 
   constructor(
     private policy: Policy,
-    weightOf: (workspace: string) => number,
+    getWeight: (workspace: string) => number,
     private readonly clock: Clock,
     private readonly metrics: Metrics,
   ) {
     this.admission = new AdmissionLimit(policy);
-    this.queue = new FairQueue(weightOf);
+    this.queue = new FairQueue(getWeight);
   }
 
   get limit(): number {
@@ -66,109 +66,112 @@
     return this.queue.length;
   }
 
-  rebind(policy: Policy): void {
+  updatePolicy(policy: Policy): void {
     this.policy = policy;
     this.admission.rebind(policy);
-    this.startWaiters();
+    this.admitQueued();
   }
 
-  /** The endpoint shows a sign of a restart or of lost caches. */
-  turnCold(sign: string): void {
+  /** Lowers the limit to the cold limit after a sign of a restart or of lost caches. */
+  markCold(cause: string): void {
     this.admission.turnCold(this.clock.now());
-    this.rate.reset();
+    this.workRate.reset();
     this.metrics.count('endpoint_turned_cold');
-    this.metrics.count(`endpoint_turned_cold_${sign}`);
+    this.metrics.count(`endpoint_turned_cold_${cause}`);
   }
 
-  /** Takes a lagging report of the endpoint. */
-  report({ boot, weights, capacity }: LoadReport): void {
-    if (this.boot && boot !== this.boot) this.turnCold('boot');
-    else if (this.weights && weights !== this.weights) this.turnCold('weights');
+  /** Applies a load report of the endpoint, which may lag behind its state. */
+  applyReport({ boot, weights, capacity }: LoadReport): void {
+    if (this.boot && boot !== this.boot) this.markCold('boot');
+    else if (this.weights && weights !== this.weights) this.markCold('weights');
     this.boot = boot;
     this.weights = weights;
     this.admission.report(capacity, this.clock.now());
-    this.startWaiters();
+    this.admitQueued();
   }
 
-  /** The endpoint sent a part of an answer. */
-  progress(epoch: number): void {
+  /** Records that the endpoint sent a part of a response. */
+  recordProgress(epoch: number): void {
     this.admission.progress(epoch, this.clock.now());
-    if (this.queue.length > 0) this.startWaiters();
+    if (this.queue.length > 0) this.admitQueued();
   }
 
-  /** The present epoch, to be given back with signs of life of work that starts now. */
+  /** The current epoch; work that starts now passes it to `recordProgress`. */
   get epoch(): number {
     return this.admission.epoch;
   }
 
-  /** Takes the time to a first token. */
-  firstToken(ms: number): void {
-    if (this.latency.observe(ms)) this.turnCold('latency');
+  /** Records the latency of a first token. */
+  recordFirstToken(ms: number): void {
+    if (this.latencyJump.observe(ms)) this.markCold('latency');
   }
 
-  /** Waits for room; throws `Overloaded`, at once where the wait would be too long. */
+  /** Waits for admission; throws `Overloaded`, at once when the expected wait is too long. */
   async acquire(workspace: string, units: number, signal: AbortSignal): Promise<Permit> {
-    let settle: (outcome: Outcome) => void = () => undefined;
-    const settled = new Promise<Outcome>((resolve) => {
+    let settle: (outcome: WaitOutcome) => void = () => undefined;
+    const settled = new Promise<WaitOutcome>((resolve) => {
       settle = resolve;
     });
-    const request: WaitingRequest = { workspace, units, settle, permit: undefined };
+    const request: QueuedRequest = { workspace, units, settle, permit: undefined };
     this.queue.push(request);
-    this.startWaiters();
+    this.admitQueued();
     if (!request.permit) {
-      this.limitQueue(request);
-      await this.wait(request, settled, signal);
+      this.shedExcess(request);
+      await this.waitForPermit(request, settled, signal);
     }
     return request.permit!;
   }
 
-  /** Sheds from the heaviest workspace when the queue is full or the wait would be too long. */
-  private limitQueue(newcomer: WaitingRequest): void {
+  /**
+   * Refuses `newcomer` if its wait would be too long; a full queue sheds from the heaviest
+   * workspace.
+   */
+  private shedExcess(newcomer: QueuedRequest): void {
     const { maxQueue, maxQueueMs } = this.policy;
-    const isHopeless = this.expectedWaitMs(newcomer.workspace) > maxQueueMs * hopelessShare;
-    if (isHopeless && this.queue.remove(newcomer)) {
-      throw this.overloaded(newcomer, 'The wait in the queue would be too long.');
+    const isWaitTooLong = this.expectedWaitMs(newcomer.workspace) > maxQueueMs * earlyRefusalShare;
+    if (isWaitTooLong && this.queue.remove(newcomer)) {
+      throw this.makeOverloaded(newcomer, 'The wait in the queue would be too long.');
     }
     if (this.queue.length <= maxQueue) return;
     const shed = this.queue.evict(newcomer);
-    if (shed === newcomer) throw this.overloaded(newcomer, 'The queue is full.');
+    if (shed === newcomer) throw this.makeOverloaded(newcomer, 'The queue is full.');
     shed.settle('evicted');
   }
 
-  private async wait(
-    request: WaitingRequest,
-    settled: Promise<Outcome>,
+  private async waitForPermit(
+    request: QueuedRequest,
+    settled: Promise<WaitOutcome>,
     signal: AbortSignal,
   ): Promise<void> {
-    const waited = new AbortController();
-    const limit = AbortSignal.any([signal, waited.signal]);
-    const late = this.clock.sleep(this.policy.maxQueueMs, limit).then(
+    const finished = new AbortController();
+    const timeoutSignal = AbortSignal.any([signal, finished.signal]);
+    const timedOut = this.clock.sleep(this.policy.maxQueueMs, timeoutSignal).then(
       () => 'late' as const,
       () => 'aborted' as const,
     );
-    const outcome = await Promise.race([settled, late]);
-    waited.abort();
-    // The turn may have come in the same moment.
+    const outcome = await Promise.race([settled, timedOut]);
+    finished.abort();
+    // The permit may have been granted at the same moment.
     if (outcome === 'turn' || request.permit) return;
     this.queue.remove(request);
-    this.startWaiters();
+    this.admitQueued();
     if (outcome === 'aborted') throw new Aborted();
-    throw this.overloaded(request, 'The wait in the queue was too long.');
+    throw this.makeOverloaded(request, 'The wait in the queue was too long.');
   }
 
-  private startWaiters(): void {
+  private admitQueued(): void {
     const now = this.clock.now();
     const fits = (units: number): boolean => this.admission.fits(units, now);
     for (;;) {
       const { limit, inFlight } = this.admission;
       const request = this.queue.shift({ limit, inFlight, fits });
       if (!request) return;
-      request.permit = this.start(request);
+      request.permit = this.grantPermit(request);
       request.settle('turn');
     }
   }
 
-  private start({ workspace, units }: WaitingRequest): Permit {
+  private grantPermit({ workspace, units }: QueuedRequest): Permit {
     const priority = this.queue.start(workspace, units, this.admission.limit);
     const work = this.admission.start(units, this.clock.now());
     let released = false;
@@ -178,22 +181,25 @@
       const now = this.clock.now();
       this.admission.finish(work, succeeded, now);
       this.queue.finish(workspace, units, realUnits);
-      if (succeeded) this.rate.finish(units, now);
-      this.startWaiters();
+      if (succeeded) this.workRate.finish(units, now);
+      this.admitQueued();
     };
     return { priority, release };
   }
 
-  /** Time until a workspace's last waiter starts at its share of the present rate; 0 if unknown. */
+  /**
+   * Expected wait of a workspace's last queued request at its share of the current rate; 0 if
+   * unknown.
+   */
   private expectedWaitMs(workspace: string): number {
-    const { perMs } = this.rate;
+    const { perMs } = this.workRate;
     if (perMs === 0) return 0;
     return this.queue.queuedUnits(workspace) / (perMs * this.queue.shareOf(workspace));
   }
 
-  private overloaded({ workspace }: Waiter, message: string): Overloaded {
+  private makeOverloaded({ workspace }: Waiter, message: string): Overloaded {
     this.metrics.count('admission_refused');
     const waitMs = Math.round(this.expectedWaitMs(workspace));
-    return new Overloaded(message, Math.min(mostRetryAfterMs, Math.max(leastRetryAfterMs, waitMs)));
+    return new Overloaded(message, Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs)));
   }
 }
--- a/packages/agent/src/endpointRuns.ts
+++ b/packages/agent/src/endpointRuns.ts
@@ -10,32 +10,32 @@
 import type { RunRequest } from '@laburnumstream/protocol';
 import type { RunStream } from './runStream.js';
 
-const downRetryMs = 500;
+const retryAfterMs = 500;
 
-/** The endpoint beside this agent: exactly one of the two. */
+/** The endpoint of this agent: exactly one of the two is set. */
 export interface Endpoint {
   readonly engine?: ModelEngine;
   readonly plain?: PlainService;
 }
 
-function wrongKind(): Failure {
+function wrongKindFailure(): Failure {
   return new Failure('wrong_kind', 'The endpoint is of the other kind.', {
     status: 400,
     execution: Execution.notRun,
   });
 }
 
-/** Runs requests at the endpoint, and tells when it died under them. */
-export class EndpointRuns {
-  /** The boot id that the endpoint reported last; another one means that it died. */
+/** Runs requests on the endpoint and detects when it dies while they run. */
+export class EndpointRunner {
+  /** The last reported boot id; a different one means that the endpoint restarted. */
   bootId = '';
 
   constructor(
     private readonly endpoint: Endpoint,
-    private readonly serving: () => string,
+    private readonly servedWeights: () => string,
   ) {}
 
-  /** Dispatches the request once and fills its stream. */
+  /** Sends the request to the endpoint once and writes the response to `stream`. */
   async run(
     request: RunRequest,
     stream: RunStream,
@@ -49,17 +49,20 @@
     } catch (error) {
       const failure = toFailure(error);
       if (signal.aborted || failure.execution !== Execution.unknown) throw failure;
-      throw (await this.died(boot)) ? new EndpointDied(failure) : failure;
+      throw (await this.hasDied(boot)) ? new EndpointDied(failure) : failure;
     }
   }
 
-  /** Throws `Unavailable` when the endpoint is down already, so that no request is blamed for it. */
+  /**
+   * Throws `Unavailable` when the endpoint is already down, so that the crash is not attributed to
+   * a request.
+   */
   async checkAlive(): Promise<void> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     try {
       this.bootId = (await source?.load())?.boot ?? '';
     } catch (error) {
-      throw new Unavailable('The endpoint is down.', downRetryMs, error);
+      throw new Unavailable('The endpoint is down.', retryAfterMs, error);
     }
   }
 
@@ -70,15 +73,15 @@
     signal: AbortSignal,
   ): Promise<void> {
     const { engine } = this.endpoint;
-    if (!engine || request.work.case !== 'generation') throw wrongKind();
-    const weights = this.serving();
+    if (!engine || request.work.case !== 'generation') throw wrongKindFailure();
+    const weights = this.servedWeights();
     if (request.weights && request.weights !== weights) throw new WeightsChanged();
     Object.assign(stream, { weights });
     const { prompt, maxTokens, adapter } = request.work.value;
     const id = `${request.id}-${request.attempt}`;
     const { resumeFrom } = request;
-    const shared = { id, prompt, maxTokens, priority, resumeFrom };
-    const generation = adapter ? { ...shared, adapter } : shared;
+    const base = { id, prompt, maxTokens, priority, resumeFrom };
+    const generation = adapter ? { ...base, adapter } : base;
     try {
       for await (const { text } of engine.generate(generation, signal)) stream.push(text);
     } finally {
@@ -89,13 +92,13 @@
 
   private async call(request: RunRequest, stream: RunStream, signal: AbortSignal): Promise<void> {
     const { plain } = this.endpoint;
-    if (!plain || request.work.case !== 'call') throw wrongKind();
+    if (!plain || request.work.case !== 'call') throw wrongKindFailure();
     const { method, path, body } = request.work.value;
     stream.finish(await plain.call({ id: request.id, method, path, body }, signal));
   }
 
-  /** Whether the endpoint is gone or has restarted since a request began. */
-  private async died(boot: string): Promise<boolean> {
+  /** Whether the endpoint is unreachable or has restarted since boot id `boot`. */
+  private async hasDied(boot: string): Promise<boolean> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     try {
       const report = await source?.load();
--- a/packages/agent/src/heartbeat.ts
+++ b/packages/agent/src/heartbeat.ts
@@ -8,20 +8,20 @@
 import type { MemberSchema } from '@laburnumstream/protocol';
 import type { ConfigurationFollower } from './configurationFollower.js';
 
-/** A member's description of itself, but for incarnation and beat. */
-export type SelfReport = () => MessageInitShape<typeof MemberSchema>;
+/** Returns the member's own description without `incarnation` and `beat`. */
+export type DescribeSelf = () => MessageInitShape<typeof MemberSchema>;
 
-const answerMs = 1_000;
-/** Time after which an entry that did not answer is tried again, in milliseconds. */
-const failedMs = 10_000;
+const timeoutMs = 1_000;
+/** Time during which an entry is avoided after a failed heartbeat, in milliseconds. */
+const failureBackoffMs = 10_000;
 
-/** Sends heartbeats to a few entries in turn and takes newer configurations from them. */
+/** Sends heartbeats to a few entries in turn and fetches newer configurations from them. */
 export class Heartbeat {
   private incarnation: number;
 
-  private accepted = false;
+  private isAccepted = false;
 
-  private beats = 0;
+  private beatCount = 0;
 
   private readonly failedAt = new Map<string, number>();
 
@@ -29,75 +29,77 @@
     private readonly links: LinkPool,
     private readonly self: Peer,
     private readonly entries: () => readonly Instance[],
-    private readonly report: SelfReport,
+    private readonly describeSelf: DescribeSelf,
     private readonly follower: ConfigurationFollower,
-    /** Another process has taken this member's place. */
+    /** Called when another process registered with a newer incarnation of this member. */
     private readonly onSuperseded: () => void,
     private readonly clock: Clock,
     private readonly intervalMs: number,
-    private readonly observers: number,
+    private readonly observerCount: number,
     private readonly log: Log,
   ) {
     this.incarnation = clock.wall();
   }
 
-  /** Beats to one entry after the other, each once an interval, until the signal fires. */
+  /** Sends each observer one heartbeat per interval, evenly spread, until the signal fires. */
   async run(signal: AbortSignal): Promise<void> {
     for (let turn = 0; !signal.aborted; turn += 1) {
-      const observers = this.choose();
+      const observers = this.chooseEntries();
       const entry = observers[turn % Math.max(1, observers.length)];
-      if (entry) void this.beat(entry, signal);
-      const pause = this.intervalMs / Math.max(1, observers.length);
-      await this.clock.sleep(pause, signal).catch(() => undefined);
+      if (entry) void this.send(entry, signal);
+      const pauseMs = this.intervalMs / Math.max(1, observers.length);
+      await this.clock.sleep(pauseMs, signal).catch(() => undefined);
     }
   }
 
-  /** Beats to all observers at once; resolves with the number that answered. */
-  async beatAll(signal: AbortSignal): Promise<number> {
-    const answered = await Promise.all(this.choose().map((entry) => this.beat(entry, signal)));
-    return answered.filter(Boolean).length;
+  /** Sends a heartbeat to all observers at once; resolves with the number of responses. */
+  async sendToAll(signal: AbortSignal): Promise<number> {
+    const results = await Promise.all(
+      this.chooseEntries().map((entry) => this.send(entry, signal)),
+    );
+    return results.filter(Boolean).length;
   }
 
-  /** The own data centre's entries that answer, or others when none does. */
-  private choose(): Peer[] {
+  /** Chooses the observers, preferably among entries without a recent failure. */
+  private chooseEntries(): Peer[] {
     const now = this.clock.now();
     const all = this.entries();
-    const answering = all.filter(
-      ({ name }) => now - (this.failedAt.get(name) ?? -Infinity) > failedMs,
+    const responsive = all.filter(
+      ({ name }) => now - (this.failedAt.get(name) ?? -Infinity) > failureBackoffMs,
     );
-    return chooseObservers(this.self, answering.length > 0 ? answering : all, this.observers);
+    return chooseObservers(this.self, responsive.length > 0 ? responsive : all, this.observerCount);
   }
 
-  private async beat(entry: Peer, signal: AbortSignal): Promise<boolean> {
+  private async send(entry: Peer, signal: AbortSignal): Promise<boolean> {
     try {
-      this.beats += 1;
+      this.beatCount += 1;
       const client = createClient(EntryService, this.links.to(entry.address));
       const { incarnation } = this;
-      const beat = BigInt(this.beats);
-      const member = { ...this.report(), incarnation: BigInt(incarnation), beat };
+      const beat = BigInt(this.beatCount);
+      const member = { ...this.describeSelf(), incarnation: BigInt(incarnation), beat };
       const configurationRevision = BigInt(this.follower.configuration.revision);
       const request = { member, configurationRevision };
-      const answer = await client.beat(request, { signal, timeoutMs: answerMs });
+      const response = await client.beat(request, { signal, timeoutMs });
       this.failedAt.delete(entry.name);
-      this.judge(incarnation, Number(answer.knownIncarnation));
-      await this.follower.offer(entry, answer.configurationRevision, signal);
+      this.checkIncarnation(incarnation, Number(response.knownIncarnation));
+      await this.follower.syncIfNewer(entry, response.configurationRevision, signal);
       return true;
     } catch (error) {
-      if (!signal.aborted) this.fail(entry, error);
+      if (!signal.aborted) this.recordFailure(entry, error);
       return false;
     }
   }
 
-  private fail(entry: Peer, error: unknown): void {
+  private recordFailure(entry: Peer, error: unknown): void {
     this.failedAt.set(entry.name, this.clock.now());
-    // The connection may have gone silent: the next heartbeat opens another.
+    // The connection may be dead without an error: the next heartbeat opens a new one.
     this.links.replace(entry.address);
     this.log.debug('Heartbeat failed.', { entry: entry.name, type: toFailure(error).type });
   }
 
-  private judge(own: number, known: number): void {
-    const verdict = judgeIncarnation(own, known, this.accepted);
-    if (verdict === IncarnationVerdict.current) this.accepted = true;
+  private checkIncarnation(own: number, known: number): void {
+    const verdict = judgeIncarnation(own, known, this.isAccepted);
+    if (verdict === IncarnationVerdict.current) this.isAccepted = true;
     if (verdict === IncarnationVerdict.raise) this.incarnation = known + 1;
     if (verdict === IncarnationVerdict.superseded) this.onSuperseded();
   }
--- a/packages/agent/src/presence.ts
+++ b/packages/agent/src/presence.ts
@@ -6,16 +6,16 @@
 import { Heartbeat } from './heartbeat.js';
 
 const withdrawRetryMs = 100;
-const withdrawTries = 10;
-const recheckMs = 2_000;
+const maxWithdrawAttempts = 10;
+const refreshTimeoutMs = 2_000;
 
-/** The changing part of an agent's description of itself. */
-export type Report = () => Pick<
+/** Returns the changing fields of the agent's own description. */
+export type ChangingDescription = () => Pick<
   MessageInitShape<typeof MemberSchema>,
   'serving' | 'load' | 'unfit'
 >;
 
-/** Shows this agent to the entries, and withdraws it. */
+/** Announces this agent to the entries and withdraws it. */
 export class Presence {
   readonly heartbeat: Heartbeat;
 
@@ -25,9 +25,12 @@
     private readonly settings: AgentSettings,
     links: LinkPool,
     entries: () => readonly Instance[],
-    private readonly report: Report,
+    private readonly describeState: ChangingDescription,
     follower: ConfigurationFollower,
-    /** Another process has taken this place; two would admit twice what the endpoint bears. */
+    /**
+     * Called when another process superseded this one; two would admit twice the limit of the
+     * endpoint.
+     */
     private readonly onSuperseded: () => void,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -37,9 +40,9 @@
       links,
       { name, region, dataCentre, address: this.address },
       entries,
-      () => this.member(),
+      () => this.describeSelf(),
       follower,
-      () => this.retire(),
+      () => this.handleSuperseded(),
       clock,
       options.heartbeatMs,
       options.observers,
@@ -47,19 +50,19 @@
     );
   }
 
-  /** Tells the entries that this agent leaves, until one has confirmed. */
+  /** Notifies the entries that this agent is leaving, until one has confirmed. */
   async withdraw(signal: AbortSignal): Promise<void> {
     this.leaving = true;
-    for (let tries = 0; tries < withdrawTries; tries += 1) {
-      if ((await this.heartbeat.beatAll(signal)) > 0) return;
+    for (let attempt = 0; attempt < maxWithdrawAttempts; attempt += 1) {
+      if ((await this.heartbeat.sendToAll(signal)) > 0) return;
       await this.clock.sleep(withdrawRetryMs);
     }
     this.log.warn('No entry confirmed the withdrawal.');
   }
 
-  /** Asks the entries for the newest configuration; out of their reach, the present one rules. */
-  async recheck(): Promise<void> {
-    await this.heartbeat.beatAll(AbortSignal.timeout(recheckMs));
+  /** Fetches the latest configuration; without a reachable entry the current one stays in force. */
+  async refreshConfiguration(): Promise<void> {
+    await this.heartbeat.sendToAll(AbortSignal.timeout(refreshTimeoutMs));
   }
 
   private get address(): string {
@@ -67,15 +70,15 @@
     return `http://${advertised ?? internal}`;
   }
 
-  private retire(): void {
+  private handleSuperseded(): void {
     if (!this.leaving) this.log.error('Another process has taken this place.');
     this.leaving = true;
     this.onSuperseded();
   }
 
-  private member(): MessageInitShape<typeof MemberSchema> {
+  private describeSelf(): MessageInitShape<typeof MemberSchema> {
     const { instance: name, region, dataCentre, service } = this.settings;
     const { address, leaving } = this;
-    return { name, region, dataCentre, service, address, leaving, ...this.report() };
+    return { name, region, dataCentre, service, address, leaving, ...this.describeState() };
   }
 }
--- a/packages/agent/src/runHandler.ts
+++ b/packages/agent/src/runHandler.ts
@@ -16,49 +16,52 @@
 import type { AgentSettings } from '@laburnumstream/runtime';
 import type { ClaimedRuns } from './claimedRuns.js';
 import type { EndpointGate } from './endpointGate.js';
-import type { EndpointRuns } from './endpointRuns.js';
-import { isKeyed } from './requestLedger.js';
-import type { LedgerRun, RequestLedger } from './requestLedger.js';
-import type { SoloLock } from './soloLock.js';
+import type { EndpointRunner } from './endpointRuns.js';
+import { usesIdempotencyKey } from './requestLedger.js';
+import type { RegisteredRun, RunRegistry } from './requestLedger.js';
+import type { SharedExclusiveLock } from './soloLock.js';
 import { RunStream } from './runStream.js';
-import type { Content } from './runStream.js';
+import type { FrameContent } from './runStream.js';
 
 const retryAfterMs = 1_000;
 
-/** What admits requests to the endpoint. */
-export type Admitter = Pick<EndpointGate, 'acquire' | 'limit' | 'inFlight' | 'queued'>;
+/** The part of an endpoint gate that admits requests. */
+export type AdmissionGate = Pick<EndpointGate, 'acquire' | 'limit' | 'inFlight' | 'queued'>;
 
-/** Work units of a request; with `tokens` given, what it really took. */
-function unitsOf({ work }: RunRequest, tokens?: number): number {
+/** Work units of a request: estimated, or actual when `tokens` is given. */
+function countUnits({ work }: RunRequest, tokens?: number): number {
   if (work.case !== 'generation') return callUnits;
   return generationUnits(work.value.prompt, tokens ?? work.value.maxTokens);
 }
 
-/** Takes requests from entries: admits them, runs them once and lets entries read the answers. */
+/** Handles requests from entries: admits them, runs them once and streams the responses. */
 export class RunHandler {
   private draining = false;
 
-  private readers = 0;
+  private readerCount = 0;
 
-  private running = 0;
+  private runningCount = 0;
 
   constructor(
     private readonly settings: AgentSettings,
     private readonly configuration: () => Configuration,
-    private readonly gate: Admitter,
-    private readonly ledger: RequestLedger,
-    private readonly endpoint: EndpointRuns,
-    private readonly claimed: ClaimedRuns,
-    private readonly solo: SoloLock,
-    /** Whether the process may act on what it knows; not so just after it stood still. */
+    private readonly gate: AdmissionGate,
+    private readonly registry: RunRegistry,
+    private readonly endpoint: EndpointRunner,
+    private readonly claimedRuns: ClaimedRuns,
+    private readonly lock: SharedExclusiveLock,
+    /**
+     * Whether the state of the process is up to date; false after a suspension until it was
+     * checked.
+     */
     private readonly isSettled: () => boolean,
     private readonly clock: Clock,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {}
 
-  get active(): number {
-    return Math.max(this.running, this.readers);
+  get activeCount(): number {
+    return Math.max(this.runningCount, this.readerCount);
   }
 
   /** Refuses new requests from now on. */
@@ -66,19 +69,19 @@
     this.draining = true;
   }
 
-  /** The frames of one request; failures become a refusal frame. */
+  /** Yields the frames of one request; a failure becomes a refusal frame. */
   async *run(request: RunRequest, signal: AbortSignal): AsyncGenerator<RunFrame> {
     const { id, attempt } = request;
     let sequence = 0;
-    const frame = (content: Content, weights = ''): RunFrame => {
+    const frame = (content: FrameContent, weights = ''): RunFrame => {
       const load = create(EndpointLoadSchema, this.load());
       const message = create(RunFrameSchema, { id, attempt, sequence, content, load, weights });
       sequence += 1;
       return message;
     };
-    this.readers += 1;
+    this.readerCount += 1;
     try {
-      const run = this.ledger.find(request) ?? this.begin(request);
+      const run = this.registry.find(request) ?? this.startRun(request);
       for await (const content of this.read(run, request, signal)) {
         yield frame(content, run.stream.weights);
       }
@@ -86,121 +89,135 @@
       this.metrics.count('requests_refused');
       yield frame({ case: 'refusal', value: toRefusal(error) });
     } finally {
-      this.readers -= 1;
+      this.readerCount -= 1;
     }
   }
 
-  /** The load as reported on replies and heartbeats. */
+  /** The load reported in frames and heartbeats. */
   load(): { instance: string; inFlight: number; limit: number; queued: number } {
     const { inFlight, limit, queued } = this.gate;
     return { instance: this.settings.instance, inFlight, limit, queued };
   }
 
   private async *read(
-    run: LedgerRun,
+    run: RegisteredRun,
     { resumeFrom }: RunRequest,
     signal: AbortSignal,
-  ): AsyncGenerator<Content> {
+  ): AsyncGenerator<FrameContent> {
     Object.assign(run, { readers: run.readers + 1 });
     try {
       yield* run.stream.read(resumeFrom, signal);
     } finally {
-      if (signal.reason instanceof Aborted) this.ledger.cancel(run);
-      this.ledger.leave(run);
+      if (signal.reason instanceof Aborted) this.registry.cancel(run);
+      this.registry.detach(run);
     }
   }
 
-  private begin(request: RunRequest): LedgerRun {
+  private startRun(request: RunRequest): RegisteredRun {
     if (request.attachOnly) throw new RunNotFound();
-    this.checkOpen(request);
+    this.checkAccepting(request);
     const { progressMs } = this.settings.options;
-    const run = this.ledger.add(request, new RunStream(request.resumeFrom, this.clock, progressMs));
-    void this.drive(run);
+    const run = this.registry.add(
+      request,
+      new RunStream(request.resumeFrom, this.clock, progressMs),
+    );
+    void this.execute(run);
     return run;
   }
 
-  private checkOpen(request: RunRequest): void {
+  private checkAccepting(request: RunRequest): void {
     if (this.draining) throw new Unavailable('The endpoint is leaving.', retryAfterMs);
-    this.checkStanding();
+    this.checkServing();
     if (request.service !== this.settings.service) {
       throw new Forbidden(`This endpoint does not serve ${request.service}.`);
     }
   }
 
-  /** Also holds right before a request starts: it may have waited, or the process stood still. */
-  private checkStanding(): void {
+  /**
+   * Also checked right before the dispatch: the request may have waited or the process been
+   * suspended.
+   */
+  private checkServing(): void {
     if (!this.isSettled()) throw new Unavailable('The agent has just stood still.', retryAfterMs);
     if (!isIn(this.configuration(), this.settings.dataCentre)) {
       throw new Unavailable('The data centre is taken out.', retryAfterMs);
     }
   }
 
-  private async drive(run: LedgerRun): Promise<void> {
+  private async execute(run: RegisteredRun): Promise<void> {
     const { request, stream } = run;
-    this.running += 1;
+    this.runningCount += 1;
     try {
-      await this.admitted(run);
+      await this.admitAndRun(run);
     } catch (error) {
       const failure = toFailure(error);
       this.log.debug('Request failed.', { id: request.id, type: failure.type });
-      // A request that did not run, or that may run again, meets no old failure when it returns.
-      const repeatable = failure.execution === Execution.notRun || !request.nonIdempotent;
-      if (repeatable) this.ledger.forget(run);
+      // A retry of a request that did not run or is idempotent must not get the old failure.
+      const isRetryable = failure.execution === Execution.notRun || !request.nonIdempotent;
+      if (isRetryable) this.registry.forget(run);
       stream.fail(failure);
     } finally {
-      this.running -= 1;
+      this.runningCount -= 1;
     }
   }
 
-  private async admitted(run: LedgerRun): Promise<void> {
+  private async admitAndRun(run: RegisteredRun): Promise<void> {
     const { request, stream, abort } = run;
-    const overdue = this.deadlineOf(request);
-    const admission = this.gate.acquire(request.workspace, unitsOf(request), abort.signal);
+    const isPastDeadline = this.startDeadline(request);
+    const admission = this.gate.acquire(request.workspace, countUnits(request), abort.signal);
     const permit = await admission.catch((error: unknown) => {
-      if (isKeyed(request)) return this.claimed.refuse(request, stream, error);
+      if (usesIdempotencyKey(request))
+        return this.claimedRuns.completeRefusal(request, stream, error);
       throw error;
     });
     if (!permit) return;
     let succeeded = false;
     const dispatch = () => this.dispatch(run, permit.priority);
     try {
-      if (await this.isRefusedNow(run)) return;
-      if (isKeyed(request)) await this.claimed.run(request, stream, overdue, dispatch);
-      else if (overdue()) throw new Timeout('The wait was too long.', Execution.notRun);
+      if (await this.isRefusedAfterWait(run)) return;
+      if (usesIdempotencyKey(request))
+        await this.claimedRuns.run(request, stream, isPastDeadline, dispatch);
+      else if (isPastDeadline()) throw new Timeout('The wait was too long.', Execution.notRun);
       else await dispatch();
       succeeded = true;
     } finally {
-      permit.release(succeeded, unitsOf(request, stream.tokens.length));
+      permit.release(succeeded, countUnits(request, stream.tokens.length));
     }
   }
 
-  private async dispatch({ request, stream, abort }: LedgerRun, priority: number): Promise<void> {
-    const leave = await this.solo.enter(request.alone, abort.signal);
+  private async dispatch(
+    { request, stream, abort }: RegisteredRun,
+    priority: number,
+  ): Promise<void> {
+    const release = await this.lock.acquire(request.alone, abort.signal);
     try {
       if (request.alone) await this.endpoint.checkAlive();
       await this.endpoint.run(request, stream, priority, abort.signal);
     } finally {
-      leave();
+      release();
     }
   }
 
-  private async isRefusedNow({ request, stream }: LedgerRun): Promise<boolean> {
+  private async isRefusedAfterWait({ request, stream }: RegisteredRun): Promise<boolean> {
     try {
-      this.checkStanding();
+      this.checkServing();
       return false;
     } catch (error) {
-      if (!isKeyed(request)) throw error;
-      await this.claimed.refuse(request, stream, error);
+      if (!usesIdempotencyKey(request)) throw error;
+      await this.claimedRuns.completeRefusal(request, stream, error);
       return true;
     }
   }
 
-  /** Whether the request's time is over, by either clock: one may stand still while suspended. */
-  private deadlineOf({ timeoutMs }: RunRequest): () => boolean {
+  /**
+   * Returns a check whether the deadline of the request has passed by either clock; one of them may
+   * stop while the process is suspended.
+   */
+  private startDeadline({ timeoutMs }: RunRequest): () => boolean {
     const { clock } = this;
-    const limit = timeoutMs || this.settings.options.requestTimeoutMs;
-    const now = clock.now();
-    const wall = clock.wall();
-    return () => Math.max(clock.now() - now, clock.wall() - wall) >= limit;
+    const limitMs = timeoutMs || this.settings.options.requestTimeoutMs;
+    const startedAt = clock.now();
+    const startedAtWall = clock.wall();
+    return () => Math.max(clock.now() - startedAt, clock.wall() - startedAtWall) >= limitMs;
   }
 }
--- a/packages/agent/src/runParts.ts
+++ b/packages/agent/src/runParts.ts
@@ -2,39 +2,41 @@
 import { ClaimBook } from '@laburnumstream/decisions';
 import type { Configuration } from '@laburnumstream/decisions';
 import type { AgentSettings } from '@laburnumstream/runtime';
-import { ClaimLeases } from './claimLeases.js';
+import { SharedClaimLease } from './claimLeases.js';
 import { ClaimedRuns } from './claimedRuns.js';
-import type { EndpointRuns } from './endpointRuns.js';
-import { RequestLedger } from './requestLedger.js';
+import type { EndpointRunner } from './endpointRuns.js';
+import { RunRegistry } from './requestLedger.js';
 import { RunHandler } from './runHandler.js';
-import type { Admitter } from './runHandler.js';
-import { SoloLock } from './soloLock.js';
+import type { AdmissionGate } from './runHandler.js';
+import { SharedExclusiveLock } from './soloLock.js';
 
-/** What a run handler is built on. */
-export interface RunParts {
+/** Dependencies of a run handler. */
+export interface RunHandlerDependencies {
   readonly settings: AgentSettings;
   readonly configuration: () => Configuration;
-  readonly gate: Admitter;
-  readonly endpoint: EndpointRuns;
-  /** Whether the process may act on what it knows; not so just after it stood still. */
+  readonly gate: AdmissionGate;
+  readonly endpoint: EndpointRunner;
+  /**
+   * Whether the state of the process is up to date; false after a suspension until it was checked.
+   */
   readonly isSettled: () => boolean;
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly log: Log;
-  /** Fires when the process ends. */
+  /** Fires when the process exits. */
   readonly signal: AbortSignal;
 }
 
-/** Builds the handler of requests with its ledger and claims. */
-export function makeRunHandler(parts: RunParts): RunHandler {
-  const { settings, configuration, gate, endpoint, isSettled, store } = parts;
-  const { clock, metrics, log, signal } = parts;
+/** Creates a run handler with its run registry, claims and lock. */
+export function createRunHandler(dependencies: RunHandlerDependencies): RunHandler {
+  const { settings, configuration, gate, endpoint, isSettled, store } = dependencies;
+  const { clock, metrics, log, signal } = dependencies;
   const { claimKeepMs, recordedAnswerBytes, progressTimeoutMs } = settings.options;
   const { resumeGraceMs, outcomeKeepMs } = settings.options;
-  const leases = new ClaimLeases(store, clock, claimKeepMs);
-  const claims = new ClaimBook(store, leases, () => clock.wall());
-  const claimed = new ClaimedRuns(
+  const claimLease = new SharedClaimLease(store, clock, claimKeepMs);
+  const claims = new ClaimBook(store, claimLease, () => clock.wall());
+  const claimedRuns = new ClaimedRuns(
     claims,
     clock,
     recordedAnswerBytes,
@@ -42,16 +44,16 @@
     metrics,
     log,
   );
-  const ledger = new RequestLedger(clock, resumeGraceMs, outcomeKeepMs, metrics, signal);
-  const solo = new SoloLock(clock);
+  const registry = new RunRegistry(clock, resumeGraceMs, outcomeKeepMs, metrics, signal);
+  const lock = new SharedExclusiveLock(clock);
   return new RunHandler(
     settings,
     configuration,
     gate,
-    ledger,
+    registry,
     endpoint,
-    claimed,
-    solo,
+    claimedRuns,
+    lock,
     isSettled,
     clock,
     metrics,
--- a/packages/agent/src/runStream.ts
+++ b/packages/agent/src/runStream.ts
@@ -7,31 +7,31 @@
 import { sha256 } from '@laburnumstream/runtime';
 
 /** The content of one frame. */
-export type Content = NonNullable<MessageInitShape<typeof RunFrameSchema>['content']>;
+export type FrameContent = NonNullable<MessageInitShape<typeof RunFrameSchema>['content']>;
 
 /**
- * The answer of one run, held so that entries can read it from any offset, also after a connection
- * was lost. Hot path: a token costs one array slot; a frame carries all tokens that are ready.
+ * Buffers the response of one run, so that entries can read it from any offset and resume after a
+ * lost connection. Hot path: a token costs one array element; a frame carries all ready tokens.
  */
 export class RunStream {
-  /** Digest of the weights that answer. */
+  /** Digest of the weights that generate the response. */
   weights = '';
 
   private readonly texts: string[] = [];
 
-  private answer: PlainAnswer | undefined;
+  private response: PlainAnswer | undefined;
 
-  private failed: Failure | undefined;
+  private storedFailure: Failure | undefined;
 
   private done = false;
 
   private readonly wakers = new Set<() => void>();
 
-  /** `firstIndex` is above 0 when the run continues an answer that another endpoint began. */
+  /** `firstIndex` is above 0 when the run continues a response that another endpoint began. */
   constructor(
     private readonly firstIndex: number,
     private readonly clock: Clock,
-    private readonly progressMs: number,
+    private readonly progressIntervalMs: number,
   ) {}
 
   get isDone(): boolean {
@@ -39,11 +39,11 @@
   }
 
   get failure(): Failure | undefined {
-    return this.failed;
+    return this.storedFailure;
   }
 
-  get plainAnswer(): PlainAnswer | undefined {
-    return this.answer;
+  get plainResponse(): PlainAnswer | undefined {
+    return this.response;
   }
 
   get tokens(): readonly string[] {
@@ -52,80 +52,86 @@
 
   push(text: string): void {
     this.texts.push(text);
-    this.wake();
+    this.wakeReaders();
   }
 
-  /** Ends the run; a plain service's answer comes with its end. */
-  finish(answer?: PlainAnswer): void {
-    this.answer = answer;
+  /** Ends the run; `response` is the response of a plain service. */
+  finish(response?: PlainAnswer): void {
+    this.response = response;
     this.done = true;
-    this.wake();
+    this.wakeReaders();
   }
 
   fail(error: unknown): void {
-    this.failed = toFailure(error);
+    this.storedFailure = toFailure(error);
     this.done = true;
-    this.wake();
+    this.wakeReaders();
   }
 
-  /** The contents from token `from` on: tokens, progress while there are none, and the end. */
-  async *read(from: number, signal: AbortSignal): AsyncGenerator<Content> {
+  /**
+   * Yields frame contents from token `from` on: tokens, progress while there are none, and the end.
+   */
+  async *read(from: number, signal: AbortSignal): AsyncGenerator<FrameContent> {
     let next = from;
     const reader = new LinkedAbort(signal);
-    const beat = this.beat(reader.signal);
+    const progress = this.startProgressTimer(reader.signal);
     try {
       if (from < this.firstIndex) throw new OutcomeUnknown('The first tokens came elsewhere.');
       while (!signal.aborted) {
-        const fresh = this.texts.slice(next - this.firstIndex);
-        if (fresh.length > 0) yield { case: 'tokens', value: { firstIndex: next, texts: fresh } };
-        next += fresh.length;
-        if (this.done && next >= this.count) {
-          yield* this.ending();
+        const newTexts = this.texts.slice(next - this.firstIndex);
+        if (newTexts.length > 0)
+          yield { case: 'tokens', value: { firstIndex: next, texts: newTexts } };
+        next += newTexts.length;
+        if (this.done && next >= this.endIndex) {
+          yield* this.finalContents();
           return;
         }
-        if (beat.due) yield { case: 'progress', value: {} };
-        beat.due = false;
-        if (!this.done && next >= this.count) await this.change(signal);
+        if (progress.due) yield { case: 'progress', value: {} };
+        progress.due = false;
+        if (!this.done && next >= this.endIndex) await this.waitForChange(signal);
       }
     } finally {
       reader.end();
     }
   }
 
-  private get count(): number {
+  private get endIndex(): number {
     return this.firstIndex + this.texts.length;
   }
 
-  private *ending(): Generator<Content> {
-    if (this.failed) {
-      yield { case: 'refusal', value: toRefusal(this.failed) };
+  private *finalContents(): Generator<FrameContent> {
+    if (this.storedFailure) {
+      yield { case: 'refusal', value: toRefusal(this.storedFailure) };
       return;
     }
-    const { answer, texts, count, firstIndex } = this;
-    if (answer) {
-      const digest = callDigest(answer.status, answer.body, sha256);
-      yield { case: 'answer', value: answer };
+    const { response, texts, endIndex, firstIndex } = this;
+    if (response) {
+      const digest = callDigest(response.status, response.body, sha256);
+      yield { case: 'answer', value: response };
       yield { case: 'end', value: { count: 1, digest } };
     } else {
-      yield { case: 'end', value: { count, digest: answerDigest(texts, sha256), firstIndex } };
+      yield {
+        case: 'end',
+        value: { count: endIndex, digest: answerDigest(texts, sha256), firstIndex },
+      };
     }
   }
 
-  /** Wakes the reader at intervals, so that a silent connection can be told from a slow run. */
-  private beat(signal: AbortSignal): { due: boolean } {
-    const beat = { due: false };
+  /** Wakes the reader periodically, so that an entry can tell a slow run from a dead connection. */
+  private startProgressTimer(signal: AbortSignal): { due: boolean } {
+    const progress = { due: false };
     const run = async (): Promise<void> => {
       while (!signal.aborted) {
-        await this.clock.sleep(this.progressMs, signal);
-        beat.due = true;
-        this.wake();
+        await this.clock.sleep(this.progressIntervalMs, signal);
+        progress.due = true;
+        this.wakeReaders();
       }
     };
-    run().catch(() => this.wake());
-    return beat;
+    run().catch(() => this.wakeReaders());
+    return progress;
   }
 
-  private change(signal: AbortSignal): Promise<void> {
+  private waitForChange(signal: AbortSignal): Promise<void> {
     if (signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
       const wake = (): void => {
@@ -136,7 +142,7 @@
     });
   }
 
-  private wake(): void {
+  private wakeReaders(): void {
     this.wakers.forEach((wake) => wake());
   }
 }
--- a/packages/agent/src/slots.ts
+++ b/packages/agent/src/slots.ts
@@ -1,23 +1,23 @@
 import { Conflict, NotFound, toFailure } from '@laburnumstream/common';
 import type { Clock, KeyValueStore } from '@laburnumstream/common';
 
-/** A held slot: the right to switch one endpoint's weights until the lease ends. */
+/** A held slot: permits switching one endpoint's weights until the lease expires. */
 export interface Slot {
   readonly key: string;
-  readonly lease: string;
-  /** The revision of the slot's key: the fencing number of orders under this slot. */
-  readonly fencing: number;
-  /** Monotonic time at which the lease counts as ended. */
-  until: number;
+  readonly leaseId: string;
+  /** Fencing number of orders sent under this slot: the revision of its key. */
+  readonly fencingNumber: number;
+  /** Monotonic time from which the lease is treated as expired, in milliseconds. */
+  expiresAt: number;
 }
 
-/** Part of a lease that is never used, for delays of clocks and calls. */
-const leaseMargin = 0.2;
-/** Renewals in the length of a lease. */
-const renewals = 4;
+/** Share of a lease left unused, to allow for clock drift and call latency. */
+const safetyMarginShare = 0.2;
+/** Renewals within one lease time. */
+const renewalsPerLease = 4;
 
-/** Slots of a roll-out as leases in the platform's key-value service. */
-export class Slots {
+/** Limits concurrent weight switches with leased slots in the key-value service. */
+export class SwitchSlots {
   constructor(
     private readonly store: KeyValueStore,
     private readonly clock: Clock,
@@ -26,79 +26,82 @@
   ) {}
 
   /**
-   * Takes one of the slots of a group, or returns undefined when all are taken. Waiting costs the
-   * store one read; it is written to only when a slot is seen free.
+   * Acquires one of the slots of a group, or returns undefined when all are taken. An attempt costs
+   * the store one read; it writes only when the read shows a free slot.
    */
-  async take(group: string, slots: number, signal: AbortSignal): Promise<Slot | undefined> {
+  async acquire(group: string, count: number, signal: AbortSignal): Promise<Slot | undefined> {
     const prefix = `laburnumstream/slots/${group}/`;
     const taken = new Set((await this.store.list(prefix, signal)).map(({ key }) => key));
-    const all = Array.from({ length: slots }, (_, number) => `${prefix}${number}`);
-    const free = all.filter((key) => !taken.has(key));
-    return free.length > 0 ? this.claim(free, signal) : undefined;
+    const keys = Array.from({ length: count }, (_, number) => `${prefix}${number}`);
+    const free = keys.filter((key) => !taken.has(key));
+    return free.length > 0 ? this.createSlot(free, signal) : undefined;
   }
 
-  private async claim(free: readonly string[], signal: AbortSignal): Promise<Slot | undefined> {
-    const asked = this.clock.now();
-    const lease = await this.store.grantLease(this.leaseMs, signal);
+  private async createSlot(
+    free: readonly string[],
+    signal: AbortSignal,
+  ): Promise<Slot | undefined> {
+    const requestedAt = this.clock.now();
+    const leaseId = await this.store.grantLease(this.leaseMs, signal);
     for (const key of free) {
       try {
-        const condition = { ifRevision: 0, lease };
-        const fencing = await this.store.put(key, this.holder, condition, signal);
-        return { key, lease, fencing, until: this.endOf(asked) };
+        const condition = { ifRevision: 0, lease: leaseId };
+        const fencingNumber = await this.store.put(key, this.holder, condition, signal);
+        return { key, leaseId, fencingNumber, expiresAt: this.expiryFrom(requestedAt) };
       } catch (error) {
         if (error instanceof NotFound) return undefined;
         if (!(error instanceof Conflict)) throw error;
       }
     }
-    await this.store.revokeLease(lease, signal);
+    await this.store.revokeLease(leaseId, signal);
     return undefined;
   }
 
-  /** Whether the slot is still held for sure. */
-  holds(slot: Slot): boolean {
-    return this.clock.now() < slot.until;
+  /** Whether the slot is certainly still held. */
+  isHeld(slot: Slot): boolean {
+    return this.clock.now() < slot.expiresAt;
   }
 
   /**
-   * Runs work under a slot, whose lease is renewed meanwhile. The work's signal fires when the lease
-   * may have ended, so that no order outlives it.
+   * Runs `work` and renews the lease of the slot meanwhile. The signal passed to `work` fires when
+   * the lease may have expired, so that no order outlives it.
    */
-  async under<Result>(
+  async runWhileHeld<Result>(
     slot: Slot,
     signal: AbortSignal,
     work: (signal: AbortSignal) => Promise<Result>,
   ): Promise<Result> {
-    const ended = new AbortController();
-    const lost = new AbortController();
-    void this.renew(slot, AbortSignal.any([signal, ended.signal]), lost);
+    const finished = new AbortController();
+    const expired = new AbortController();
+    void this.renew(slot, AbortSignal.any([signal, finished.signal]), expired);
     try {
-      return await work(AbortSignal.any([signal, lost.signal]));
+      return await work(AbortSignal.any([signal, expired.signal]));
     } finally {
-      ended.abort();
+      finished.abort();
     }
   }
 
   async release(slot: Slot): Promise<void> {
-    await this.store.revokeLease(slot.lease);
+    await this.store.revokeLease(slot.leaseId);
   }
 
-  private async renew(slot: Slot, signal: AbortSignal, lost: AbortController): Promise<void> {
-    while (!signal.aborted && this.holds(slot)) {
-      const pause = Math.min(this.leaseMs / renewals, slot.until - this.clock.now());
-      await this.clock.sleep(Math.max(1, pause), signal).catch(() => undefined);
-      if (signal.aborted || !this.holds(slot)) break;
-      const asked = this.clock.now();
+  private async renew(slot: Slot, signal: AbortSignal, expired: AbortController): Promise<void> {
+    while (!signal.aborted && this.isHeld(slot)) {
+      const delayMs = Math.min(this.leaseMs / renewalsPerLease, slot.expiresAt - this.clock.now());
+      await this.clock.sleep(Math.max(1, delayMs), signal).catch(() => undefined);
+      if (signal.aborted || !this.isHeld(slot)) break;
+      const requestedAt = this.clock.now();
       try {
-        await this.store.renewLease(slot.lease, signal);
-        Object.assign(slot, { until: this.endOf(asked) });
+        await this.store.renewLease(slot.leaseId, signal);
+        Object.assign(slot, { expiresAt: this.expiryFrom(requestedAt) });
       } catch (error) {
         if (toFailure(error) instanceof NotFound) break;
       }
     }
-    if (!signal.aborted) lost.abort();
+    if (!signal.aborted) expired.abort();
   }
 
-  private endOf(asked: number): number {
-    return asked + this.leaseMs * (1 - leaseMargin);
+  private expiryFrom(requestedAt: number): number {
+    return requestedAt + this.leaseMs * (1 - safetyMarginShare);
   }
 }
--- a/packages/agent/src/soloLock.ts
+++ b/packages/agent/src/soloLock.ts
@@ -2,75 +2,82 @@
 import type { Clock } from '@laburnumstream/common';
 
 const retryAfterMs = 1_000;
-/** Longest wait until a request may run alone, in milliseconds. */
-const soloWaitMs = 10_000;
-/** Longest wait of other requests for one that runs alone, in milliseconds. */
-const sharedWaitMs = 1_000;
+/** Longest wait for exclusive access, in milliseconds. */
+const maxExclusiveWaitMs = 10_000;
+/** Longest wait for shared access, in milliseconds. */
+const maxSharedWaitMs = 1_000;
 
-/** Lets many requests run side by side, or one alone. */
-export class SoloLock {
-  private shared = 0;
+/** Shared/exclusive lock: many requests run concurrently, or one alone. */
+export class SharedExclusiveLock {
+  private sharedCount = 0;
 
-  private solo = false;
+  private isExclusive = false;
 
-  private readonly waitingSolos = new Set<() => void>();
+  private readonly exclusiveWaiters = new Set<() => void>();
 
-  private readonly waitingShared = new Set<() => void>();
+  private readonly sharedWaiters = new Set<() => void>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Waits for a turn and returns what ends it; throws `Overloaded` after the longest wait. */
-  async enter(alone: boolean, signal: AbortSignal): Promise<() => void> {
-    const waiting = alone ? this.waitingSolos : this.waitingShared;
-    const limitMs = alone ? soloWaitMs : sharedWaitMs;
-    const deadline = this.clock.now() + limitMs;
-    while (!this.isFree(alone)) {
+  /**
+   * Acquires the lock and returns its release function; throws `Overloaded` when the wait is too
+   * long.
+   */
+  async acquire(exclusive: boolean, signal: AbortSignal): Promise<() => void> {
+    const waiters = exclusive ? this.exclusiveWaiters : this.sharedWaiters;
+    const maxWaitMs = exclusive ? maxExclusiveWaitMs : maxSharedWaitMs;
+    const deadline = this.clock.now() + maxWaitMs;
+    while (!this.canAcquire(exclusive)) {
       if (signal.aborted) throw new Aborted();
-      const leftMs = deadline - this.clock.now();
-      if (leftMs <= 0) throw new Overloaded('A request runs alone.', retryAfterMs);
-      await this.turn(waiting, leftMs, signal);
+      const remainingMs = deadline - this.clock.now();
+      if (remainingMs <= 0) throw new Overloaded('A request runs alone.', retryAfterMs);
+      await this.waitForWake(waiters, remainingMs, signal);
     }
-    return this.begin(alone);
+    return this.grant(exclusive);
   }
 
-  /** A waiting request that is to run alone holds new ones back, so that its turn comes. */
-  private isFree(alone: boolean): boolean {
-    if (this.solo) return false;
-    return alone ? this.shared === 0 : this.waitingSolos.size === 0;
+  /** An exclusive waiter holds back new shared requests, so that it does not starve. */
+  private canAcquire(exclusive: boolean): boolean {
+    if (this.isExclusive) return false;
+    return exclusive ? this.sharedCount === 0 : this.exclusiveWaiters.size === 0;
   }
 
-  private begin(alone: boolean): () => void {
-    if (alone) this.solo = true;
-    else this.shared += 1;
-    let ended = false;
+  private grant(exclusive: boolean): () => void {
+    if (exclusive) this.isExclusive = true;
+    else this.sharedCount += 1;
+    let released = false;
     return () => {
-      if (ended) return;
-      ended = true;
-      if (alone) this.solo = false;
-      else this.shared -= 1;
+      if (released) return;
+      released = true;
+      if (exclusive) this.isExclusive = false;
+      else this.sharedCount -= 1;
       this.wake();
     };
   }
 
   private wake(): void {
-    if (this.solo) return;
-    const [next] = this.waitingSolos;
-    if (next && this.shared === 0) next();
-    if (!next) this.waitingShared.forEach((wake) => wake());
+    if (this.isExclusive) return;
+    const [next] = this.exclusiveWaiters;
+    if (next && this.sharedCount === 0) next();
+    if (!next) this.sharedWaiters.forEach((wake) => wake());
   }
 
-  private async turn(waiting: Set<() => void>, ms: number, signal: AbortSignal): Promise<void> {
-    const done = new AbortController();
-    const limit = AbortSignal.any([signal, done.signal]);
+  private async waitForWake(
+    waiters: Set<() => void>,
+    ms: number,
+    signal: AbortSignal,
+  ): Promise<void> {
+    const settled = new AbortController();
+    const limit = AbortSignal.any([signal, settled.signal]);
     let wake: () => void = () => undefined;
     const woken = new Promise<void>((resolve) => {
       wake = resolve;
     });
-    waiting.add(wake);
-    const late = this.clock.sleep(ms, limit).catch(() => undefined);
-    await Promise.race([woken, late]);
-    done.abort();
-    waiting.delete(wake);
+    waiters.add(wake);
+    const timedOut = this.clock.sleep(ms, limit).catch(() => undefined);
+    await Promise.race([woken, timedOut]);
+    settled.abort();
+    waiters.delete(wake);
     this.wake();
   }
 }
--- a/packages/agent/src/watchedEngine.ts
+++ b/packages/agent/src/watchedEngine.ts
@@ -7,11 +7,11 @@
   ModelEngine,
   Token,
 } from '@laburnumstream/common';
-import { watchFailure } from './coldSigns.js';
+import { markColdAfterFailure } from './coldSigns.js';
 import type { EndpointGate } from './endpointGate.js';
 
-/** Tells the gate of an engine's signs of life and of restarts. */
-export class WatchedEngine implements ModelEngine {
+/** Model engine client that reports progress, latency and signs of a restart to the gate. */
+export class MonitoredEngine implements ModelEngine {
   constructor(
     private readonly engine: ModelEngine,
     private readonly gate: EndpointGate,
@@ -21,18 +21,18 @@
   async *generate(generation: Generation, signal: AbortSignal): AsyncIterable<Token> {
     const { gate, clock } = this;
     const { epoch } = gate;
-    const started = clock.now();
+    const startedAt = clock.now();
     let isFirst = true;
     try {
-      // Hot path: no allocation of its own for each token.
+      // Hot path: allocates nothing per token.
       for await (const token of this.engine.generate(generation, signal)) {
-        if (isFirst) gate.firstToken(clock.now() - started);
+        if (isFirst) gate.recordFirstToken(clock.now() - startedAt);
         isFirst = false;
-        gate.progress(epoch);
+        gate.recordProgress(epoch);
         yield token;
       }
     } catch (error) {
-      watchFailure(gate, error, signal);
+      markColdAfterFailure(gate, error, signal);
       throw error;
     }
   }
@@ -45,17 +45,17 @@
     return this.engine.load(signal);
   }
 
-  /** New weights leave the engine cold: the limit falls before the order and after it. */
+  /** Loading weights leaves the engine cold: the limit is lowered before the order and after it. */
   async order(order: EngineOrder, signal?: AbortSignal): Promise<void> {
     if (order.kind !== OrderKind.load || order.manifest?.kind === 'adapter') {
       await this.engine.order(order, signal);
       return;
     }
-    this.gate.turnCold('order');
+    this.gate.markCold('order');
     try {
       await this.engine.order(order, signal);
     } finally {
-      this.gate.turnCold('order');
+      this.gate.markCold('order');
     }
   }
 }
--- a/packages/agent/src/watchedPlainService.ts
+++ b/packages/agent/src/watchedPlainService.ts
@@ -1,9 +1,9 @@
 import type { LoadReport, PlainAnswer, PlainCall, PlainService } from '@laburnumstream/common';
-import { watchFailure } from './coldSigns.js';
+import { markColdAfterFailure } from './coldSigns.js';
 import type { EndpointGate } from './endpointGate.js';
 
-/** Tells the gate of a plain service's signs of restarts. */
-export class WatchedPlainService implements PlainService {
+/** Plain service client that reports signs of a restart to the gate. */
+export class MonitoredPlainService implements PlainService {
   constructor(
     private readonly service: PlainService,
     private readonly gate: EndpointGate,
@@ -13,7 +13,7 @@
     try {
       return await this.service.call(call, signal);
     } catch (error) {
-      watchFailure(this.gate, error, signal);
+      markColdAfterFailure(this.gate, error, signal);
       throw error;
     }
   }
--- a/packages/agent/src/weightFetcher.ts
+++ b/packages/agent/src/weightFetcher.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { setImmediate as yieldToOthers } from 'node:timers/promises';
+import { setImmediate as yieldToEventLoop } from 'node:timers/promises';
 import { Corrupted, toFailure } from '@laburnumstream/common';
 import type { Clock, Instance, Log, Manifest, Metrics, WeightOrigin } from '@laburnumstream/common';
 import {
@@ -21,13 +21,13 @@
 } from '@laburnumstream/decisions';
 import { sha256 } from '@laburnumstream/runtime';
 import type { WeightPeers } from './weightPeers.js';
-import type { Pace } from './pace.js';
-import type { HeldVersion, WeightStore } from './weightStore.js';
+import type { BandwidthLimiter } from './pace.js';
+import type { StoredVersion, WeightStore } from './weightStore.js';
 
-const checkMs = 100;
+const pollMs = 100;
 const manifestRetryMs = 300;
 
-const faultOf: Readonly<Record<string, FetchFault>> = {
+const faultsByType: Readonly<Record<string, FetchFault>> = {
   not_found: FetchFault.notYet,
   corrupted: FetchFault.corrupt,
 };
@@ -39,51 +39,55 @@
   readonly digest: string;
 }
 
-/** What a fetcher reads weights from. */
-export interface WeightRoutes {
+/** Sources and limits of a weight fetcher. */
+export interface WeightFetcherOptions {
   readonly origin: WeightOrigin;
   readonly peers: WeightPeers;
-  /** Paces what this instance receives. */
-  readonly receiving: Pace;
+  /** Limits the bandwidth at which this instance receives. */
+  readonly receiveLimiter: BandwidthLimiter;
   readonly order?: SourceOrder;
   readonly limits?: TransferLimits;
 }
 
-/** Fetches versions of weights from peers and the origin, and verifies every chunk and the whole. */
+/**
+ * Fetches weight versions from peers and the origin; verifies each chunk and the complete content.
+ */
 export class WeightFetcher {
   constructor(
-    private readonly routes: WeightRoutes,
+    private readonly options: WeightFetcherOptions,
     private readonly store: WeightStore,
     private readonly clock: Clock,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {}
 
-  /** Fetches a version whole; ends only with it, when the signal fires, or when it is corrupt. */
-  async fetch(wanted: WantedVersion, signal: AbortSignal): Promise<HeldVersion> {
+  /** Fetches a complete version; retries until the signal fires or the content is found corrupt. */
+  async fetch(wanted: WantedVersion, signal: AbortSignal): Promise<StoredVersion> {
     const manifest =
-      this.store.find(wanted.digest)?.manifest ?? (await this.manifest(wanted, signal));
-    const version = this.store.open(wanted.digest, manifest);
+      this.store.find(wanted.digest)?.manifest ?? (await this.fetchManifest(wanted, signal));
+    const version = this.store.reserve(wanted.digest, manifest);
     if (version.isVerified) return version;
     await this.fetchChunks(version, signal);
-    await this.verifyWhole(version);
+    await this.verifyContent(version);
     return version;
   }
 
-  /** Takes the manifest the way of chunk 0, so that the origin is asked for it about once. */
-  private async manifest(wanted: WantedVersion, signal: AbortSignal): Promise<Manifest> {
+  /**
+   * Fetches the manifest in the source order of chunk 0, so that the origin gets about one request.
+   */
+  private async fetchManifest(wanted: WantedVersion, signal: AbortSignal): Promise<Manifest> {
     for (;;) {
-      const { peers } = this.routes;
+      const { peers } = this.options;
       const order = sourceOrders.trees(peers.topology(wanted.digest), peers.self, 0);
       for (const source of order) {
-        const manifest = await this.tryManifest(source, wanted, signal);
+        const manifest = await this.tryFetchManifest(source, wanted, signal);
         if (manifest) return manifest;
       }
       await this.clock.sleep(manifestRetryMs, signal);
     }
   }
 
-  private async tryManifest(
+  private async tryFetchManifest(
     source: WeightSource,
     wanted: WantedVersion,
     signal: AbortSignal,
@@ -92,45 +96,48 @@
     try {
       const manifest =
         source === origin
-          ? await this.routes.origin.manifest(model, version, signal)
-          : checkManifest(await this.routes.peers.manifest(source as Instance, digest, signal));
+          ? await this.options.origin.manifest(model, version, signal)
+          : checkManifest(await this.options.peers.manifest(source as Instance, digest, signal));
       if (manifestDigest(manifest, sha256) === digest) return manifest;
       this.metrics.count('weight_manifests_of_other_versions');
-      this.log.warn('The source has another manifest.', { model, source: sourceName(source) });
+      this.log.warn('The source has a different manifest.', { model, source: sourceName(source) });
     } catch (error) {
-      this.log.debug('No manifest.', { type: toFailure(error).type, source: sourceName(source) });
+      this.log.debug('Manifest not fetched.', {
+        type: toFailure(error).type,
+        source: sourceName(source),
+      });
     }
     signal.throwIfAborted();
     return undefined;
   }
 
-  private async fetchChunks(version: HeldVersion, signal: AbortSignal): Promise<void> {
+  private async fetchChunks(version: StoredVersion, signal: AbortSignal): Promise<void> {
     const { digest, manifest } = version;
-    const { peers, order = sourceOrders.trees, limits = transferDefaults } = this.routes;
+    const { peers, order = sourceOrders.trees, limits = transferDefaults } = this.options;
     let topology: Topology = peers.topology(digest);
     const transfer = new Transfer(manifest.chunks.length, peers.self, topology, order, limits);
     version.chunks.forEach((chunk, index) => chunk && transfer.has(index));
     const ended = new AbortController();
-    const limit = AbortSignal.any([signal, ended.signal]);
-    const running = new Map<ChunkFetch, AbortController>();
+    const transferSignal = AbortSignal.any([signal, ended.signal]);
+    const inFlight = new Map<ChunkFetch, AbortController>();
     const launch = (fetches: readonly ChunkFetch[]): void =>
       fetches.forEach((fetch) => {
-        const onward = (): void => {
-          if (!limit.aborted) launch(transfer.start(this.clock.now()));
+        const startNext = (): void => {
+          if (!transferSignal.aborted) launch(transfer.start(this.clock.now()));
         };
-        const useless = new AbortController();
-        running.set(fetch, useless);
-        const ending = AbortSignal.any([limit, useless.signal]);
-        void this.run(fetch, version, transfer, ending).then((superseded) => {
-          superseded.forEach((other) => running.get(other)?.abort());
-          running.delete(fetch);
-          onward();
+        const superseded = new AbortController();
+        inFlight.set(fetch, superseded);
+        const fetchSignal = AbortSignal.any([transferSignal, superseded.signal]);
+        void this.fetchChunk(fetch, version, transfer, fetchSignal).then((others) => {
+          others.forEach((other) => inFlight.get(other)?.abort());
+          inFlight.delete(fetch);
+          startNext();
         });
       });
     try {
       launch(transfer.start(this.clock.now()));
       while (!transfer.isComplete) {
-        await this.clock.sleep(checkMs, signal);
+        await this.clock.sleep(pollMs, signal);
         const latest = peers.topology(digest);
         if (latest !== topology) transfer.regroup(latest);
         topology = latest;
@@ -141,16 +148,16 @@
     }
   }
 
-  private async run(
+  private async fetchChunk(
     fetch: ChunkFetch,
-    version: HeldVersion,
+    version: StoredVersion,
     transfer: Transfer,
     signal: AbortSignal,
   ): Promise<readonly ChunkFetch[]> {
     const { chunk, source } = fetch;
     try {
-      const bytes = await this.read(source, version, chunk, signal);
-      await this.routes.receiving.take(bytes.byteLength);
+      const bytes = await this.readChunk(source, version, chunk, signal);
+      await this.options.receiveLimiter.acquire(bytes.byteLength);
       if (sha256(bytes) !== version.manifest.chunks[chunk]) {
         throw new Corrupted(`Chunk ${chunk} does not match its digest.`);
       }
@@ -163,39 +170,39 @@
     } catch (error) {
       if (signal.aborted) return [];
       const { type } = toFailure(error);
-      const fault = faultOf[type] ?? FetchFault.unreachable;
+      const fault = faultsByType[type] ?? FetchFault.unreachable;
       this.metrics.count(`weight_faults_${fault}`);
       this.log.debug('Chunk not fetched.', { chunk, fault, type, source: sourceName(source) });
       if (fault === FetchFault.corrupt) {
         this.metrics.count('weight_chunks_corrupt');
         this.log.warn('Corrupt chunk.', { chunk, source: sourceName(source) });
       }
-      if (source === origin) await this.clock.sleep(checkMs, signal).catch(() => undefined);
+      if (source === origin) await this.clock.sleep(pollMs, signal).catch(() => undefined);
       transfer.failed(fetch, fault, this.clock.now());
       return [];
     }
   }
 
-  private read(
+  private readChunk(
     source: WeightSource,
-    { digest, manifest }: HeldVersion,
+    { digest, manifest }: StoredVersion,
     chunk: number,
     signal: AbortSignal,
   ): Promise<Uint8Array> {
     const { model, version } = manifest;
-    if (source === origin) return this.routes.origin.chunk(model, version, chunk, signal);
-    return this.routes.peers.chunk(source as Instance, digest, chunk, signal);
+    if (source === origin) return this.options.origin.chunk(model, version, chunk, signal);
+    return this.options.peers.chunk(source as Instance, digest, chunk, signal);
   }
 
-  private async verifyWhole(version: HeldVersion): Promise<void> {
+  private async verifyContent(version: StoredVersion): Promise<void> {
     const hash = createHash('sha256');
     for (const chunk of version.chunks) {
       hash.update(chunk!);
-      await yieldToOthers();
+      await yieldToEventLoop();
     }
-    const isWhole = hash.digest('hex') === version.manifest.content;
-    this.store.verify(version.digest, isWhole);
-    if (isWhole) return;
+    const isIntact = hash.digest('hex') === version.manifest.content;
+    this.store.setVerified(version.digest, isIntact);
+    if (isIntact) return;
     this.metrics.count('weight_versions_corrupt');
     throw new Corrupted(`The content of ${version.manifest.model} does not match its digest.`);
   }
--- a/packages/agent/src/weightKeeper.ts
+++ b/packages/agent/src/weightKeeper.ts
@@ -4,40 +4,42 @@
 import { policyFor, slotPollMs, switchDelayMs, unfitReason } from '@laburnumstream/decisions';
 import type { Configuration, SwitchRecord } from '@laburnumstream/decisions';
 import { Lifecycle } from '@laburnumstream/runtime';
-import type { Slot, Slots } from './slots.js';
+import type { Slot, SwitchSlots } from './slots.js';
 import type { WeightFetcher } from './weightFetcher.js';
 import type { WeightStore } from './weightStore.js';
-import { digestsToKeep, serves, targetsOf } from './weightTargets.js';
-import type { Served, WeightTarget } from './weightTargets.js';
+import { digestsToKeep, serves, resolveTargets } from './weightTargets.js';
+import type { ServedWeights, WeightTarget } from './weightTargets.js';
 
 const pollMs = 200;
-const pauseMs = 500;
-/** Time after which a version that seemed unfit is loaded again if it is still wanted. */
+const retryDelayMs = 500;
+/** Delay before an unfit version that is still wanted is loaded again, in milliseconds. */
 const unfitRetryMs = 5_000;
-/** Time after a switch in which a loss of the weights speaks against the version, in milliseconds. */
+/**
+ * Time after a switch during which losing the weights counts against the version, in milliseconds.
+ */
 const probationMs = 60_000;
 
 type WeightEvent = 'WANTED' | 'WHOLE' | 'SLOT' | 'LOST' | 'LOADED' | 'FAILED' | 'CHANGED' | 'RETRY';
 
-/** The load at the endpoint, for the order of switches. */
-export type SpareLoad = () => { readonly inFlight: number; readonly limit: number };
+/** Returns the load at the endpoint, which decides the order of switches. */
+export type CurrentLoad = () => { readonly inFlight: number; readonly limit: number };
 
-const nothing: Served = { weights: '', adapters: [] };
-const noRecord: SwitchRecord = { digest: '', failedLoads: 0, losses: 0 };
+const noWeights: ServedWeights = { weights: '', adapters: [] };
+const emptyRecord: SwitchRecord = { digest: '', failedLoads: 0, losses: 0 };
 
-/** Brings the endpoint to the versions that the configuration names. */
-export class WeightKeeper {
+/** Reconciles the weights on the endpoint with the configured versions. */
+export class WeightReconciler {
   private wanted: WeightTarget | undefined;
 
-  private served: Served = nothing;
+  private served: ServedWeights = noWeights;
 
-  /** The last order that the endpoint took, for a reload after it lost its weights. */
-  private loaded:
+  /** The last accepted order, for a reload after the endpoint lost its weights. */
+  private lastOrder:
     { readonly digest: string; readonly fencing: number; readonly at: number } | undefined;
 
-  private record = noRecord;
+  private record = emptyRecord;
 
-  private notedAt = -Infinity;
+  private recordUpdatedAt = -Infinity;
 
   private slot: Slot | undefined;
 
@@ -48,13 +50,13 @@
   constructor(
     private readonly settings: AgentSettings,
     private readonly configuration: () => Configuration,
-    private readonly spareLoad: SpareLoad,
+    private readonly currentLoad: CurrentLoad,
     /** Number of endpoints of the service in this data centre. */
-    private readonly neighbours: () => number,
+    private readonly localEndpointCount: () => number,
     private readonly engine: ModelEngine,
     private readonly store: WeightStore,
     private readonly fetcher: WeightFetcher,
-    private readonly slots: Slots,
+    private readonly slots: SwitchSlots,
     private readonly clock: Clock,
     private readonly metrics: Metrics,
     private readonly log: Log,
@@ -63,17 +65,17 @@
   }
 
   /** Digest of the weights that the endpoint serves; empty when it has none. */
-  get serving(): string {
+  get servedWeights(): string {
     return this.served.weights;
   }
 
-  /** Digests of all that the endpoint serves. */
+  /** Digests of the served weights and adapters. */
   get servedDigests(): string[] {
     return [this.served.weights, ...this.served.adapters].filter(Boolean);
   }
 
-  /** The version that this endpoint holds for unfit, with the reason. */
-  get unfit(): { digest: string; reason: string } | undefined {
+  /** The version that proved unfit on this endpoint, with the reason. */
+  get unfitVersion(): { digest: string; reason: string } | undefined {
     const reason = unfitReason(this.record);
     return reason ? { digest: this.record.digest, reason } : undefined;
   }
@@ -84,40 +86,40 @@
 
   start(chart: Chart, signal: AbortSignal): void {
     const handlers = {
-      idle: (ended: AbortSignal) => this.awaitWork(ended),
-      fetching: (ended: AbortSignal) => this.guard(() => this.fetch(ended)),
-      waiting: (ended: AbortSignal) => this.guard(() => this.awaitSlot(ended)),
-      switching: (ended: AbortSignal) => this.guard(() => this.switchOver(ended)),
-      reloading: (ended: AbortSignal) => this.guard(() => this.reload(ended)),
-      pausing: (ended: AbortSignal) => this.pause(ended),
+      idle: (ended: AbortSignal) => this.awaitTarget(ended),
+      fetching: (ended: AbortSignal) => this.runStep(() => this.fetch(ended)),
+      waiting: (ended: AbortSignal) => this.runStep(() => this.awaitSlot(ended)),
+      switching: (ended: AbortSignal) => this.runStep(() => this.switchVersion(ended)),
+      reloading: (ended: AbortSignal) => this.runStep(() => this.reload(ended)),
+      pausing: (ended: AbortSignal) => this.backOff(ended),
     };
     this.lifecycle = new Lifecycle<WeightEvent>(chart, handlers, this.log, signal);
   }
 
-  /** The endpoint reported what it serves. */
-  observe({ weights, adapters }: Served): void {
-    const { loaded } = this;
-    const isLost = loaded && serves(this.served, loaded.digest) && !weights;
-    if (isLost && this.clock.now() - loaded.at < probationMs) {
-      this.note(loaded.digest, { losses: 1 });
-      this.log.warn('The endpoint lost its weights.', { digest: loaded.digest });
+  /** Applies a report of what the endpoint serves. */
+  observe({ weights, adapters }: ServedWeights): void {
+    const { lastOrder } = this;
+    const isLost = lastOrder && serves(this.served, lastOrder.digest) && !weights;
+    if (isLost && this.clock.now() - lastOrder.at < probationMs) {
+      this.updateRecord(lastOrder.digest, { losses: 1 });
+      this.log.warn('The endpoint lost its weights.', { digest: lastOrder.digest });
     }
     this.served = { weights, adapters };
   }
 
   private get targets(): WeightTarget[] {
-    return targetsOf(this.configuration(), this.settings.service);
+    return resolveTargets(this.configuration(), this.settings.service);
   }
 
   private isWanted(target: WeightTarget | undefined): boolean {
     return this.targets.some(({ digest }) => digest === target?.digest);
   }
 
-  private async awaitWork(signal: AbortSignal): Promise<WeightEvent | undefined> {
+  private async awaitTarget(signal: AbortSignal): Promise<WeightEvent | undefined> {
     while (!signal.aborted) {
-      this.removeOld();
+      this.removeUnused();
       const target = this.targets.find(({ digest }) => !serves(this.served, digest));
-      if (target && !this.isBarred(target)) {
+      if (target && !this.isBackingOff(target)) {
         this.wanted = target;
         return 'WANTED';
       }
@@ -127,36 +129,38 @@
   }
 
   /**
-   * An unfit version is left alone for a while, in which the roll-out may be stopped. When it is still
-   * wanted after that, an endpoint that serves it now and then is better than one that serves nothing.
+   * An unfit version is not loaded again for a while, in which the roll-out may be stopped. If it
+   * is still wanted after that, serving it intermittently is better than serving nothing.
    */
-  private isBarred({ digest }: WeightTarget): boolean {
-    return digest === this.unfit?.digest && this.clock.now() - this.notedAt < unfitRetryMs;
+  private isBackingOff({ digest }: WeightTarget): boolean {
+    return (
+      digest === this.unfitVersion?.digest && this.clock.now() - this.recordUpdatedAt < unfitRetryMs
+    );
   }
 
-  /** Current and former versions stay, so that a stopped roll-out returns at once. */
-  private removeOld(): void {
+  /** Keeps current and previous versions, so that a stopped roll-out can revert at once. */
+  private removeUnused(): void {
     const keep = digestsToKeep(this.targets, this.served);
     if (this.targets.length === 0) return;
     this.store.digests
       .filter((digest) => !keep.has(digest))
       .forEach((digest) => {
         this.store.remove(digest);
-        this.log.info('Old version removed.', { digest });
+        this.log.info('Unused version removed.', { digest });
       });
   }
 
-  /** Fetches the wanted version; another release meanwhile ends this transfer. */
+  /** Fetches the wanted version; a release of another version aborts the transfer. */
   private async fetch(signal: AbortSignal): Promise<WeightEvent> {
     const wanted = this.wanted!;
     const changed = new AbortController();
     const ended = new AbortController();
-    void this.awaitChange(wanted, changed, AbortSignal.any([signal, ended.signal]));
-    const started = this.clock.now();
+    void this.abortOnChange(wanted, changed, AbortSignal.any([signal, ended.signal]));
+    const startedAt = this.clock.now();
     try {
       await this.fetcher.fetch(wanted, AbortSignal.any([signal, changed.signal]));
-      this.metrics.observe('weight_fetch', this.clock.now() - started);
-      return this.isReload(wanted) ? 'LOST' : 'WHOLE';
+      this.metrics.observe('weight_fetch', this.clock.now() - startedAt);
+      return this.needsReload(wanted) ? 'LOST' : 'WHOLE';
     } catch (error) {
       if (changed.signal.aborted) return 'CHANGED';
       throw error;
@@ -165,76 +169,84 @@
     }
   }
 
-  private async awaitChange(
+  private async abortOnChange(
     wanted: WeightTarget,
-    changed: AbortController,
+    change: AbortController,
     signal: AbortSignal,
   ): Promise<void> {
     while (!signal.aborted) {
-      if (!this.isWanted(wanted)) changed.abort();
+      if (!this.isWanted(wanted)) change.abort();
       await this.clock.sleep(pollMs, signal).catch(() => undefined);
     }
   }
 
-  /** Whether the endpoint lost the very version that it had loaded: it serves nothing to protect. */
-  private isReload({ digest }: WeightTarget): boolean {
-    return this.loaded?.digest === digest && !this.served.weights;
+  /**
+   * Whether the endpoint lost the version that it last loaded; a reload then interrupts no service.
+   */
+  private needsReload({ digest }: WeightTarget): boolean {
+    return this.lastOrder?.digest === digest && !this.served.weights;
   }
 
   private async awaitSlot(signal: AbortSignal): Promise<WeightEvent> {
     const { service, dataCentre, instance } = this.settings;
-    const { inFlight, limit } = this.spareLoad();
+    const { inFlight, limit } = this.currentLoad();
     await this.clock.sleep(switchDelayMs(inFlight, limit), signal);
     while (this.isWanted(this.wanted)) {
       const place = { service, dataCentre, instance };
       const { switchSlots } = policyFor(this.configuration(), place, this.clock.wall());
-      this.slot = await this.slots.take(`${service}/${dataCentre}`, switchSlots, signal);
+      this.slot = await this.slots.acquire(`${service}/${dataCentre}`, switchSlots, signal);
       if (this.slot) return 'SLOT';
-      await this.clock.sleep(slotPollMs(this.neighbours()), signal);
+      await this.clock.sleep(slotPollMs(this.localEndpointCount()), signal);
     }
     return 'CHANGED';
   }
 
-  private async switchOver(signal: AbortSignal): Promise<WeightEvent> {
+  private async switchVersion(signal: AbortSignal): Promise<WeightEvent> {
     const slot = this.slot!;
-    const work = (limit: AbortSignal): Promise<WeightEvent> => this.orderUnder(slot, limit);
+    const work = (limit: AbortSignal): Promise<WeightEvent> => this.switchWithSlot(slot, limit);
     try {
-      return await this.slots.under(slot, signal, work);
+      return await this.slots.runWhileHeld(slot, signal, work);
     } finally {
       await this.slots.release(slot).catch(() => undefined);
     }
   }
 
-  private async orderUnder(slot: Slot, signal: AbortSignal): Promise<WeightEvent> {
+  private async switchWithSlot(slot: Slot, signal: AbortSignal): Promise<WeightEvent> {
     const { digest } = this.wanted!;
-    await this.awaitFormerHolder(signal);
-    // The version may have been stopped, or the endpoint switched, while this process was paused.
+    await this.awaitPreviousLeases(signal);
+    // The roll-out may have been stopped, or the endpoint switched, while this process was paused.
     const report = await this.engine.load(signal);
     this.observe(report);
     if (!this.isWanted(this.wanted) || serves(report, digest)) return 'FAILED';
-    // A paused process may wake after its lease has ended: check right before the order.
-    if (!this.slots.holds(slot)) return 'FAILED';
-    return this.order(digest, slot.fencing, signal);
+    // A paused process may resume after its lease has expired: check right before the order.
+    if (!this.slots.isHeld(slot)) return 'FAILED';
+    return this.loadVersion(digest, slot.fencingNumber, signal);
   }
 
   /**
-   * An endpoint that ignores fencing numbers may still get an order of an agent that has vanished:
-   * wait until every lease from before has ended.
+   * An endpoint that ignores fencing numbers could still execute an order of a previous agent
+   * process: waits until every lease granted before the start has expired.
    */
-  private async awaitFormerHolder(signal: AbortSignal): Promise<void> {
+  private async awaitPreviousLeases(signal: AbortSignal): Promise<void> {
     if (this.settings.endpoint.checksFencing) return;
-    const left = this.startedAt + this.slots.leaseMs - this.clock.now();
-    if (left > 0) await this.clock.sleep(left, signal);
+    const remainingMs = this.startedAt + this.slots.leaseMs - this.clock.now();
+    if (remainingMs > 0) await this.clock.sleep(remainingMs, signal);
   }
 
-  /** Loads the released version again with the number of the order that loaded it before. */
+  /**
+   * Loads the released version again with the fencing number of the order that loaded it before.
+   */
   private async reload(signal: AbortSignal): Promise<WeightEvent> {
     const wanted = this.wanted!;
-    if (!this.isReload(wanted)) return 'FAILED';
-    return this.order(wanted.digest, this.loaded!.fencing, signal);
+    if (!this.needsReload(wanted)) return 'FAILED';
+    return this.loadVersion(wanted.digest, this.lastOrder!.fencing, signal);
   }
 
-  private async order(digest: string, fencing: number, signal: AbortSignal): Promise<WeightEvent> {
+  private async loadVersion(
+    digest: string,
+    fencing: number,
+    signal: AbortSignal,
+  ): Promise<WeightEvent> {
     const version = this.store.find(digest);
     if (!version?.isVerified) return 'FAILED';
     const source = `http://${this.settings.listen.weights}/weights/${digest}/content`;
@@ -242,33 +254,36 @@
     try {
       await this.engine.order({ kind: 'load', fencing, manifest, digest, source }, signal);
       const report = await this.engine.load(signal);
-      this.loaded = { digest, fencing, at: this.clock.now() };
+      this.lastOrder = { digest, fencing, at: this.clock.now() };
       this.observe(report);
       if (!serves(report, digest)) throw new StaleOrder('The endpoint serves another version.');
     } catch (error) {
-      if (error instanceof OrderRefused) this.note(digest, { failedLoads: 1 });
+      if (error instanceof OrderRefused) this.updateRecord(digest, { failedLoads: 1 });
       throw error;
     }
     this.log.info('Weights switched.', { digest });
     return 'LOADED';
   }
 
-  private note(digest: string, by: { failedLoads?: number; losses?: number }): void {
-    const { failedLoads, losses } = this.record.digest === digest ? this.record : noRecord;
-    this.notedAt = this.clock.now();
+  private updateRecord(
+    digest: string,
+    increments: { failedLoads?: number; losses?: number },
+  ): void {
+    const { failedLoads, losses } = this.record.digest === digest ? this.record : emptyRecord;
+    this.recordUpdatedAt = this.clock.now();
     this.record = {
       digest,
-      failedLoads: failedLoads + (by.failedLoads ?? 0),
-      losses: losses + (by.losses ?? 0),
+      failedLoads: failedLoads + (increments.failedLoads ?? 0),
+      losses: losses + (increments.losses ?? 0),
     };
   }
 
-  private async pause(signal: AbortSignal): Promise<WeightEvent> {
-    await this.clock.sleep(pauseMs, signal);
+  private async backOff(signal: AbortSignal): Promise<WeightEvent> {
+    await this.clock.sleep(retryDelayMs, signal);
     return 'RETRY';
   }
 
-  private async guard(step: () => Promise<WeightEvent>): Promise<WeightEvent> {
+  private async runStep(step: () => Promise<WeightEvent>): Promise<WeightEvent> {
     try {
       return await step();
     } catch (error) {
--- a/packages/agent/src/weightSender.ts
+++ b/packages/agent/src/weightSender.ts
@@ -1,25 +1,25 @@
-import type { Pace } from './pace.js';
+import type { BandwidthLimiter } from './pace.js';
 
-interface Waiting {
+interface QueuedSend {
   readonly priority: number;
   readonly start: () => void;
 }
 
-/** Sends chunks one after the other within a pace, the lowest priority number first. */
-export class WeightSender {
-  private readonly waiting: Waiting[] = [];
+/** Schedules chunk sends one at a time within a bandwidth limit, lowest priority number first. */
+export class SendScheduler {
+  private readonly queue: QueuedSend[] = [];
 
   private busy = false;
 
-  constructor(private readonly pace: Pace) {}
+  constructor(private readonly limiter: BandwidthLimiter) {}
 
-  /** Resolves to true when the chunk may be sent, to false when the receiver has gone before. */
-  async turn(bytes: number, priority: number, signal: AbortSignal): Promise<boolean> {
-    if (this.busy) await this.queue(priority, signal);
+  /** Resolves to true when the chunk may be sent, to false when `signal` fired first. */
+  async awaitTurn(bytes: number, priority: number, signal: AbortSignal): Promise<boolean> {
+    if (this.busy) await this.enqueue(priority, signal);
     if (signal.aborted) return false;
     this.busy = true;
     try {
-      await this.pace.take(bytes);
+      await this.limiter.acquire(bytes);
     } finally {
       this.busy = false;
       this.startNext();
@@ -27,26 +27,26 @@
     return !signal.aborted;
   }
 
-  private queue(priority: number, signal: AbortSignal): Promise<void> {
+  private enqueue(priority: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
-      const waiting = { priority, start: resolve };
-      const leave = (): void => {
-        const index = this.waiting.indexOf(waiting);
+      const queued = { priority, start: resolve };
+      const removeFromQueue = (): void => {
+        const index = this.queue.indexOf(queued);
         if (index < 0) return;
-        this.waiting.splice(index, 1);
+        this.queue.splice(index, 1);
         resolve();
       };
-      this.waiting.push(waiting);
-      signal.addEventListener('abort', leave, { once: true });
+      this.queue.push(queued);
+      signal.addEventListener('abort', removeFromQueue, { once: true });
     });
   }
 
   private startNext(): void {
-    const [first] = this.waiting.sort((a, b) => a.priority - b.priority);
-    if (!first) return;
-    this.waiting.shift();
-    // The next one begins before anybody else can.
+    const [next] = this.queue.sort((a, b) => a.priority - b.priority);
+    if (!next) return;
+    this.queue.shift();
+    // Stay busy, so that no new caller gets ahead of the queued one.
     this.busy = true;
-    first.start();
+    next.start();
   }
 }
--- a/packages/agent/src/weightStore.ts
+++ b/packages/agent/src/weightStore.ts
@@ -1,23 +1,23 @@
 import { NotFound, Overloaded, timeLimit } from '@laburnumstream/common';
 import type { Manifest } from '@laburnumstream/common';
 
-/** One version of weights, whole or in transfer. */
-export interface HeldVersion {
+/** One version of weights, complete or in transfer. */
+export interface StoredVersion {
   readonly digest: string;
   readonly manifest: Manifest;
   /** Verified chunks by index. */
   readonly chunks: (Uint8Array | undefined)[];
   /** Number of verified chunks. */
-  held: number;
-  /** Whether the whole content was verified, after all chunks. */
+  verifiedCount: number;
+  /** Whether the digest of the complete content was verified. */
   isVerified: boolean;
 }
 
 const retryAfterMs = 1_000;
 
-/** Holds verified chunks in memory, within a limit. */
+/** Keeps verified chunks in memory, within a limit. */
 export class WeightStore {
-  private readonly versions = new Map<string, HeldVersion>();
+  private readonly versions = new Map<string, StoredVersion>();
 
   private readonly waiters = new Map<string, Set<() => void>>();
 
@@ -26,7 +26,7 @@
   constructor(private readonly memoryBytes: number) {}
 
   /** Bytes reserved for all versions. */
-  get bytes(): number {
+  get reservedBytes(): number {
     return this.reserved;
   }
 
@@ -34,22 +34,28 @@
     return [...this.versions.keys()];
   }
 
-  /** Makes room for a version; throws `Overloaded` when the memory limit is reached. */
-  open(digest: string, manifest: Manifest): HeldVersion {
-    const known = this.versions.get(digest);
-    if (known) return known;
+  /** Reserves memory for a version; throws `Overloaded` when the limit is reached. */
+  reserve(digest: string, manifest: Manifest): StoredVersion {
+    const existing = this.versions.get(digest);
+    if (existing) return existing;
     if (this.reserved + manifest.size > this.memoryBytes) {
       throw new Overloaded('The memory for weights is full.', retryAfterMs);
     }
     this.reserved += manifest.size;
     const chunks = new Array<Uint8Array | undefined>(manifest.chunks.length).fill(undefined);
-    const version: HeldVersion = { digest, manifest, chunks, held: 0, isVerified: false };
+    const version: StoredVersion = {
+      digest,
+      manifest,
+      chunks,
+      verifiedCount: 0,
+      isVerified: false,
+    };
     this.versions.set(digest, version);
-    this.changed(digest);
+    this.notifyWaiters(digest);
     return version;
   }
 
-  find(digest: string): HeldVersion | undefined {
+  find(digest: string): StoredVersion | undefined {
     return this.versions.get(digest);
   }
 
@@ -58,32 +64,32 @@
     const version = this.versions.get(digest);
     if (!version || version.chunks[index]) return;
     version.chunks[index] = bytes;
-    version.held += 1;
-    this.changed(digest);
+    version.verifiedCount += 1;
+    this.notifyWaiters(digest);
   }
 
   /**
-   * Waits up to `waitMs` until the version is held and `condition` is true for it; throws `NotFound`
-   * after that time.
+   * Waits up to `waitMs` until the version is stored and satisfies `condition`; throws `NotFound`
+   * on timeout.
    */
-  async whenHeld(
+  async waitFor(
     digest: string,
     waitMs: number,
     signal: AbortSignal,
-    condition: (version: HeldVersion) => boolean,
-  ): Promise<HeldVersion> {
-    const held = (): HeldVersion | undefined => {
+    condition: (version: StoredVersion) => boolean,
+  ): Promise<StoredVersion> {
+    const match = (): StoredVersion | undefined => {
       const version = this.versions.get(digest);
       return version && condition(version) ? version : undefined;
     };
     const found =
-      held() ?? (waitMs > 0 ? await this.wait(digest, waitMs, signal, held) : undefined);
+      match() ?? (waitMs > 0 ? await this.wait(digest, waitMs, signal, match) : undefined);
     if (!found) throw new NotFound('This is not held here yet.');
     return found;
   }
 
-  /** All chunks are there and the whole content matches its digest. */
-  verify(digest: string, isVerified: boolean): void {
+  /** Records whether the complete content matches its digest; a mismatch removes the version. */
+  setVerified(digest: string, isVerified: boolean): void {
     const version = this.versions.get(digest);
     if (version) version.isVerified = isVerified;
     if (!isVerified) this.remove(digest);
@@ -100,24 +106,24 @@
     digest: string,
     waitMs: number,
     signal: AbortSignal,
-    held: () => HeldVersion | undefined,
-  ): Promise<HeldVersion | undefined> {
+    match: () => StoredVersion | undefined,
+  ): Promise<StoredVersion | undefined> {
     return new Promise((resolve) => {
       const waiters = this.waiters.get(digest) ?? new Set();
       this.waiters.set(digest, waiters);
-      const limit = timeLimit(waitMs, signal);
+      const timeoutSignal = timeLimit(waitMs, signal);
       const check = (): void => {
-        const found = held();
-        if (!found && !limit.aborted) return;
+        const found = match();
+        if (!found && !timeoutSignal.aborted) return;
         waiters.delete(check);
         resolve(found);
       };
       waiters.add(check);
-      limit.addEventListener('abort', check, { once: true });
+      timeoutSignal.addEventListener('abort', check, { once: true });
     });
   }
 
-  private changed(digest: string): void {
+  private notifyWaiters(digest: string): void {
     this.waiters.get(digest)?.forEach((check) => check());
   }
 }
--- a/packages/agent/src/weightTargets.ts
+++ b/packages/agent/src/weightTargets.ts
@@ -2,13 +2,13 @@
 import type { Configuration } from '@laburnumstream/decisions';
 import type { WantedVersion } from './weightFetcher.js';
 
-/** A version that the endpoint is to serve, with the digest of the version before it. */
+/** A version that the endpoint should serve, with the digest of the previous version. */
 export interface WeightTarget extends WantedVersion {
   readonly previous?: string;
 }
 
-/** The versions that the configuration names for a service: its model first, then its adapters. */
-export function targetsOf(configuration: Configuration, service: string): WeightTarget[] {
+/** The versions configured for a service: its model first, then its adapters. */
+export function resolveTargets(configuration: Configuration, service: string): WeightTarget[] {
   const definition = configuration.services[service];
   const names = [definition?.model, ...(definition?.adapters ?? [])];
   return names.flatMap((model) => {
@@ -19,19 +19,22 @@
   });
 }
 
-/** Whether the endpoint serves a version, as its model or as one of its adapters. */
-export function serves(report: Served, digest: string): boolean {
-  return report.weights === digest || report.adapters.includes(digest);
+/** Whether the endpoint serves a version as its model or as one of its adapters. */
+export function serves(served: ServedWeights, digest: string): boolean {
+  return served.weights === digest || served.adapters.includes(digest);
 }
 
-/** The part of a load report that names weights. */
-export type Served = Pick<LoadReport, 'weights' | 'adapters'>;
+/** The fields of a load report that name the served weights. */
+export type ServedWeights = Pick<LoadReport, 'weights' | 'adapters'>;
 
-/** Digests to hold: what is to be served, what is served, and the version before each. */
-export function digestsToKeep(targets: readonly WeightTarget[], report: Served): Set<string> {
-  const named = targets.flatMap(({ digest, previous }) => [
+/** Digests to keep: the target versions, their previous versions and what is served now. */
+export function digestsToKeep(
+  targets: readonly WeightTarget[],
+  served: ServedWeights,
+): Set<string> {
+  const targeted = targets.flatMap(({ digest, previous }) => [
     digest,
     ...(previous ? [previous] : []),
   ]);
-  return new Set([...named, report.weights, ...report.adapters]);
+  return new Set([...targeted, served.weights, ...served.adapters]);
 }
