--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -12,7 +12,7 @@
   },
   {
     name: 'end of a slot with its lease',
-    file: 'packages/agent/dist/slots.js',
+    file: 'packages/agent/dist/switchSlots.js',
     find: 'return this.clock.now() < slot.expiresAt;',
     replace: 'return true;',
     test: 'Weight fetch decisions: slot of a paused holder',
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -26,19 +26,19 @@
 import type { AgentSettings } from '@laburnumstream/runtime';
 import { ConfigurationFollower } from './configurationFollower.js';
 import { EndpointGate } from './endpointGate.js';
-import { EndpointRunner } from './endpointRuns.js';
-import type { Endpoint } from './endpointRuns.js';
+import { EndpointRunner } from './endpointRunner.js';
+import type { Endpoint } from './endpointRunner.js';
 import { openEndpoint } from './openEndpoint.js';
 import { Presence } from './presence.js';
 import type { ChangingDescription } from './presence.js';
 import type { RunHandler } from './runHandler.js';
-import { createRunHandler } from './runParts.js';
-import { SwitchSlots } from './slots.js';
+import { createRunHandler } from './createRunHandler.js';
+import { SwitchSlots } from './switchSlots.js';
 import { WeightFetcher } from './weightFetcher.js';
-import { WeightReconciler } from './weightKeeper.js';
+import { WeightReconciler } from './weightReconciler.js';
 import { WeightPeers } from './weightPeers.js';
-import { ConstantRateLimiter } from './pace.js';
-import { SendScheduler } from './weightSender.js';
+import { ConstantRateLimiter } from './bandwidthLimiter.js';
+import { SendScheduler } from './sendScheduler.js';
 import { WeightServer } from './weightServer.js';
 import { WeightStore } from './weightStore.js';
 
--- a/packages/agent/src/claimedRuns.ts
+++ b/packages/agent/src/claimedRuns.ts
@@ -14,7 +14,7 @@
 import type { Claim, ClaimBook, ClaimRecord, HeldClaim } from '@laburnumstream/decisions';
 import type { RunRequest } from '@laburnumstream/protocol';
 import { sha256 } from '@laburnumstream/runtime';
-import { runKey } from './requestLedger.js';
+import { runKey } from './runRegistry.js';
 import type { RunStream } from './runStream.js';
 
 const claimPrefix = 'laburnumstream/claims/';
--- a/packages/agent/src/runParts.ts
+++ b/packages/agent/src/createRunHandler.ts
@@ -2,13 +2,13 @@
 import { ClaimBook } from '@laburnumstream/decisions';
 import type { Configuration } from '@laburnumstream/decisions';
 import type { AgentSettings } from '@laburnumstream/runtime';
-import { SharedClaimLease } from './claimLeases.js';
+import { SharedClaimLease } from './sharedClaimLease.js';
 import { ClaimedRuns } from './claimedRuns.js';
-import type { EndpointRunner } from './endpointRuns.js';
-import { RunRegistry } from './requestLedger.js';
+import type { EndpointRunner } from './endpointRunner.js';
+import { RunRegistry } from './runRegistry.js';
 import { RunHandler } from './runHandler.js';
 import type { AdmissionGate } from './runHandler.js';
-import { SharedExclusiveLock } from './soloLock.js';
+import { SharedExclusiveLock } from './sharedExclusiveLock.js';
 
 /** Dependencies of a run handler. */
 export interface RunHandlerDependencies {
--- a/packages/agent/src/watchedEngine.ts
+++ b/packages/agent/src/monitoredEngine.ts
@@ -7,7 +7,7 @@
   ModelEngine,
   Token,
 } from '@laburnumstream/common';
-import { markColdAfterFailure } from './coldSigns.js';
+import { markColdAfterFailure } from './markColdAfterFailure.js';
 import type { EndpointGate } from './endpointGate.js';
 
 /** Model engine client that reports progress, latency and signs of a restart to the gate. */
--- a/packages/agent/src/watchedPlainService.ts
+++ b/packages/agent/src/monitoredPlainService.ts
@@ -1,5 +1,5 @@
 import type { LoadReport, PlainAnswer, PlainCall, PlainService } from '@laburnumstream/common';
-import { markColdAfterFailure } from './coldSigns.js';
+import { markColdAfterFailure } from './markColdAfterFailure.js';
 import type { EndpointGate } from './endpointGate.js';
 
 /** Plain service client that reports signs of a restart to the gate. */
--- a/packages/agent/src/openEndpoint.ts
+++ b/packages/agent/src/openEndpoint.ts
@@ -2,9 +2,9 @@
 import { HttpModelEngine, HttpPlainService } from '@laburnumstream/clients';
 import type { AgentSettings } from '@laburnumstream/runtime';
 import type { EndpointGate } from './endpointGate.js';
-import type { Endpoint } from './endpointRuns.js';
-import { MonitoredEngine } from './watchedEngine.js';
-import { MonitoredPlainService } from './watchedPlainService.js';
+import type { Endpoint } from './endpointRunner.js';
+import { MonitoredEngine } from './monitoredEngine.js';
+import { MonitoredPlainService } from './monitoredPlainService.js';
 
 /** Creates the client of the configured endpoint; a lost connection marks the gate as cold. */
 export function openEndpoint(settings: AgentSettings, gate: EndpointGate, clock: Clock): Endpoint {
--- a/packages/agent/src/runHandler.ts
+++ b/packages/agent/src/runHandler.ts
@@ -16,10 +16,10 @@
 import type { AgentSettings } from '@laburnumstream/runtime';
 import type { ClaimedRuns } from './claimedRuns.js';
 import type { EndpointGate } from './endpointGate.js';
-import type { EndpointRunner } from './endpointRuns.js';
-import { usesIdempotencyKey } from './requestLedger.js';
-import type { RegisteredRun, RunRegistry } from './requestLedger.js';
-import type { SharedExclusiveLock } from './soloLock.js';
+import type { EndpointRunner } from './endpointRunner.js';
+import { usesIdempotencyKey } from './runRegistry.js';
+import type { RegisteredRun, RunRegistry } from './runRegistry.js';
+import type { SharedExclusiveLock } from './sharedExclusiveLock.js';
 import { RunStream } from './runStream.js';
 import type { FrameContent } from './runStream.js';
 
--- a/packages/agent/src/weightSender.ts
+++ b/packages/agent/src/sendScheduler.ts
@@ -1,4 +1,4 @@
-import type { BandwidthLimiter } from './pace.js';
+import type { BandwidthLimiter } from './bandwidthLimiter.js';
 
 interface QueuedSend {
   readonly priority: number;
--- a/packages/agent/src/weightFetcher.ts
+++ b/packages/agent/src/weightFetcher.ts
@@ -21,7 +21,7 @@
 } from '@laburnumstream/decisions';
 import { sha256 } from '@laburnumstream/runtime';
 import type { WeightPeers } from './weightPeers.js';
-import type { BandwidthLimiter } from './pace.js';
+import type { BandwidthLimiter } from './bandwidthLimiter.js';
 import type { StoredVersion, WeightStore } from './weightStore.js';
 
 const pollMs = 100;
--- a/packages/agent/src/weightKeeper.ts
+++ b/packages/agent/src/weightReconciler.ts
@@ -4,7 +4,7 @@
 import { policyFor, slotPollMs, switchDelayMs, unfitReason } from '@laburnumstream/decisions';
 import type { Configuration, SwitchRecord } from '@laburnumstream/decisions';
 import { Lifecycle } from '@laburnumstream/runtime';
-import type { Slot, SwitchSlots } from './slots.js';
+import type { Slot, SwitchSlots } from './switchSlots.js';
 import type { WeightFetcher } from './weightFetcher.js';
 import type { WeightStore } from './weightStore.js';
 import { digestsToKeep, serves, resolveTargets } from './weightTargets.js';
--- a/packages/agent/src/weightServer.ts
+++ b/packages/agent/src/weightServer.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { NotFound } from '@laburnumstream/common';
 import { sendFailure, sendJson } from '@laburnumstream/runtime';
-import type { SendScheduler } from './weightSender.js';
+import type { SendScheduler } from './sendScheduler.js';
 import type { StoredVersion, WeightStore } from './weightStore.js';
 
 /** One request for weights. */
