--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -30,7 +30,7 @@
 import type { Endpoint } from './endpointRunner.js';
 import { openEndpoint } from './openEndpoint.js';
 import { Presence } from './presence.js';
-import type { ChangingDescription } from './presence.js';
+import type { DescribeState } from './presence.js';
 import type { RunHandler } from './runHandler.js';
 import { createRunHandler } from './createRunHandler.js';
 import { SwitchSlots } from './switchSlots.js';
@@ -198,7 +198,7 @@
     this.abort.abort();
   }
 
-  private describeState(): ReturnType<ChangingDescription> {
+  private describeState(): ReturnType<DescribeState> {
     const unfit = this.weightReconciler?.unfitVersion;
     const serving = this.weightReconciler?.servedDigests ?? [];
     return { serving, load: this.runHandler.load(), ...(unfit ? { unfit } : {}) };
--- a/packages/agent/src/endpointGate.ts
+++ b/packages/agent/src/endpointGate.ts
@@ -4,7 +4,7 @@
 import type { Policy, Priority, Waiter } from '@laburnumstream/decisions';
 
 /** Why a queued request stopped waiting. */
-type WaitOutcome = 'turn' | 'evicted' | 'late' | 'aborted';
+type WaitOutcome = 'admitted' | 'evicted' | 'timedOut' | 'aborted';
 
 /** A request queued for capacity at the endpoint. */
 interface QueuedRequest extends Waiter {
@@ -146,13 +146,13 @@
     const finished = new AbortController();
     const timeoutSignal = AbortSignal.any([signal, finished.signal]);
     const timedOut = this.clock.sleep(this.policy.maxQueueMs, timeoutSignal).then(
-      () => 'late' as const,
+      () => 'timedOut' as const,
       () => 'aborted' as const,
     );
     const outcome = await Promise.race([settled, timedOut]);
     finished.abort();
     // The permit may have been granted at the same moment.
-    if (outcome === 'turn' || request.permit) return;
+    if (outcome === 'admitted' || request.permit) return;
     this.queue.remove(request);
     this.admitQueued();
     if (outcome === 'aborted') throw new Aborted();
@@ -167,7 +167,7 @@
       const request = this.queue.shift({ limit, inFlight, fits });
       if (!request) return;
       request.permit = this.grantPermit(request);
-      request.settle('turn');
+      request.settle('admitted');
     }
   }
 
--- a/packages/agent/src/presence.ts
+++ b/packages/agent/src/presence.ts
@@ -10,7 +10,7 @@
 const refreshTimeoutMs = 2_000;
 
 /** Returns the changing fields of the agent's own description. */
-export type ChangingDescription = () => Pick<
+export type DescribeState = () => Pick<
   MessageInitShape<typeof MemberSchema>,
   'serving' | 'load' | 'unfit'
 >;
@@ -25,7 +25,7 @@
     private readonly settings: AgentSettings,
     links: LinkPool,
     entries: () => readonly Instance[],
-    private readonly describeState: ChangingDescription,
+    private readonly describeState: DescribeState,
     follower: ConfigurationFollower,
     /**
      * Called when another process superseded this one; two would admit twice the limit of the
--- a/packages/agent/src/weightServer.ts
+++ b/packages/agent/src/weightServer.ts
@@ -35,7 +35,7 @@
 
   constructor(
     private readonly store: WeightStore,
-    private readonly sendScheduler: SendScheduler,
+    private readonly scheduler: SendScheduler,
     private readonly getPriority: ChunkPriority,
   ) {}
 
@@ -79,7 +79,7 @@
     // busy holder from a dead one.
     const timedOut = AbortSignal.timeout(maxWaitMs);
     if (
-      !(await this.sendScheduler.awaitTurn(
+      !(await this.scheduler.awaitTurn(
         chunk.byteLength,
         priority,
         AbortSignal.any([disconnected, timedOut]),
