--- a/bench/src/heavyDays/heavyDay.ts
+++ b/bench/src/heavyDays/heavyDay.ts
@@ -45,20 +45,20 @@
   name: 'model',
   healthPath: '/health',
   maxConnections: 400,
-  coldPerSecond: 0,
+  coldRequestsPerSecond: 0,
   origin: undefined,
   engine: {
     slots: 16,
     memoryTokens: 685_000,
-    stride: 6,
+    stepsPerPass: 6,
     stepMs: 7.4,
     stepMsPerSequence: 0.0387,
     stepMsPerThousandTokens: 0.0203,
-    readTokensPerSecond: 31_900,
-    readMsPerMillionPairs: 0.733,
-    readChunkTokens: 2_048,
-    usualPromptTokens: 930,
-    usualAnswerTokens: 107,
+    prefillTokensPerSecond: 31_900,
+    prefillMsPerMillionPairs: 0.733,
+    prefillChunkTokens: 2_048,
+    typicalPromptTokens: 930,
+    typicalOutputTokens: 107,
     layers: 16,
     chunks: 48,
     chunkBytes: 49_152,
@@ -226,7 +226,7 @@
   /** Credit that engines could do within the time if requests came when there is room for them. */
   private atBest(requests: readonly HeavyRequest[]): number {
     const { engines, seconds } = this.shape;
-    const { stride } = heavyProfile.engine!;
+    const { stepsPerPass: stride } = heavyProfile.engine!;
     const workOf = ({ promptTokens, events }: HeavyRequest): number =>
       this.model.workMs(promptTokens, events * stride);
     let leftMs = engines * seconds * secondMs;
--- a/bench/src/heavyDays/ways.ts
+++ b/bench/src/heavyDays/ways.ts
@@ -47,7 +47,7 @@
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
-  sample: () => undefined,
+  registerGauges: () => undefined,
 };
 
 /** Region of an engine or entry: they are dealt out in turn. */
@@ -95,7 +95,7 @@
       async place(request, isReturned, signal) {
         const { id, workspace, promptTokens, arrivesAt, kind } = request;
         const goalAt = arrivesAt + kind.goalMs;
-        const answerTokens = request.events * profile.engine!.stride;
+        const answerTokens = request.events * profile.engine!.stepsPerPass;
         const placed = {
           id,
           service,
--- a/bench/src/histories/plainService.ts
+++ b/bench/src/histories/plainService.ts
@@ -1,7 +1,7 @@
 import { Aborted, OutcomeUnknown, Unavailable } from '@laburnumstream/common';
 import type {
   LoadReport,
-  PlainAnswer,
+  PlainResponse,
   PlainCall,
   PlainService,
   Random,
@@ -35,7 +35,7 @@
     private readonly faults: ServiceFaults,
   ) {}
 
-  call({ body }: PlainCall, signal: AbortSignal): Promise<PlainAnswer> {
+  call({ body }: PlainCall, signal: AbortSignal): Promise<PlainResponse> {
     const aborted = new Promise<never>((_, reject) => {
       signal.addEventListener('abort', () => reject(new Aborted()), { once: true });
     });
@@ -44,13 +44,13 @@
     return this.host.receive(Promise.race([result, aborted]));
   }
 
-  load(): Promise<LoadReport> {
+  getLoadReport(): Promise<LoadReport> {
     const idle = { boot: 'boot', running: 0, queued: 0, capacity: 16 };
     return this.host.receive(Promise.resolve({ ...idle, weights: '', adapters: [], role: '' }));
   }
 
   /** Goes on although its agent may die meanwhile. */
-  private async work(request: string): Promise<PlainAnswer> {
+  private async work(request: string): Promise<PlainResponse> {
     await this.clock.sleep(this.random.next() * arrivalMs);
     this.onRun(request);
     await this.clock.sleep(this.random.next() * workMs);
--- a/bench/src/histories/world.ts
+++ b/bench/src/histories/world.ts
@@ -53,7 +53,7 @@
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
-  sample: () => undefined,
+  registerGauges: () => undefined,
 };
 
 interface WorldEntry {
--- a/bench/src/simulatedMembers.ts
+++ b/bench/src/simulatedMembers.ts
@@ -40,7 +40,7 @@
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
-  sample: () => undefined,
+  registerGauges: () => undefined,
 };
 
 /** How many members are simulated beside the real processes. */
--- a/bench/src/virtual/virtualEntry.ts
+++ b/bench/src/virtual/virtualEntry.ts
@@ -79,7 +79,7 @@
       count: (counter) => this.counters.set(counter, (this.counters.get(counter) ?? 0) + 1),
       gauge: () => undefined,
       observe: () => undefined,
-      sample: () => undefined,
+      registerGauges: () => undefined,
     };
     this.keeper = new ConfigurationKeeper(metrics, noLog);
     this.editor = new ConfigurationEditor(this.store, this.keeper, this.clock);
--- a/bench/src/weights/weightWorker.ts
+++ b/bench/src/weights/weightWorker.ts
@@ -54,7 +54,7 @@
   await serve(member, server);
   const origin = new HttpWeightOrigin(task.origins[member.region]!, timeoutMs);
   const routes = { origin, peers, receiving: pace(), order: sourceOrders[task.order] };
-  const log = new LoggerFactory(member.name, 'warn').part('weights');
+  const log = new LoggerFactory(member.name, 'warn').forComponent('weights');
   const fetcher = new WeightFetcher(routes, store, clock, new HistogramMetrics(), log);
   return async () => {
     await fetcher.fetch(task.wanted, new AbortController().signal);
--- a/features/steps/admission.steps.ts
+++ b/features/steps/admission.steps.ts
@@ -161,7 +161,7 @@
   const engine = new HttpModelEngine(standIn.address, 1_000, () => {
     losses += 1;
   });
-  await engine.load();
+  await engine.getLoadReport();
   assert.equal(losses, 0);
   standIn.closeConnections();
   await eventually(() => losses > 0, 'the loss is noticed');
--- a/features/steps/logs.steps.ts
+++ b/features/steps/logs.steps.ts
@@ -1,16 +1,21 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { Explanation, parseLogLine, renderStory } from '@laburnumstream/cli';
+import { RequestTimeline, parseLogLine, renderTimeline } from '@laburnumstream/cli';
 import type { LogLine } from '@laburnumstream/cli';
-import { HistogramMetrics, LineBudget, LineOutput, LoggerFactory } from '@laburnumstream/runtime';
+import {
+  HistogramMetrics,
+  LogRateLimiter,
+  LossyLineStream,
+  LoggerFactory,
+} from '@laburnumstream/runtime';
 import type { PlatformFleet } from '../support/platformFleet.js';
 
 interface LogsWorld {
-  budget: LineBudget;
+  budget: LogRateLimiter;
   written: Map<string, number>;
   leftOut: number;
   kept: number;
-  output: LineOutput;
+  output: LossyLineStream;
   outputMetrics: HistogramMetrics;
   platform: PlatformFleet;
   story: string;
@@ -22,14 +27,15 @@
 const secondMs = 1_000;
 
 When(/^2000 requests a second are logged for 3 seconds$/, function flood(this: LogsWorld) {
-  this.budget = new LineBudget();
+  this.budget = new LogRateLimiter();
   this.written = new Map();
   this.leftOut = 0;
   for (let request = 0; request < perSecond * seconds; request += 1) {
     const now = (request / perSecond) * secondMs;
     kinds.forEach((kind) => {
       const name = `${kind} ${Math.floor(now / secondMs)}`;
-      if (this.budget.takes(kind, now)) this.written.set(name, (this.written.get(name) ?? 0) + 1);
+      if (this.budget.tryAcquire(kind, now))
+        this.written.set(name, (this.written.get(name) ?? 0) + 1);
       else this.leftOut += 1;
     });
   }
@@ -38,7 +44,9 @@
     writableLength: 0,
     write: (line: string | Uint8Array) => lines.push(`${line}`) > 0,
   };
-  const log = new LoggerFactory('front-1', 'info', new HistogramMetrics(), sink).part('line');
+  const log = new LoggerFactory('front-1', 'info', new HistogramMetrics(), sink).forComponent(
+    'line',
+  );
   for (let request = 0; request < perSecond; request += 1) {
     log.info('Request refused.', { id: String(request), isRepeatable: false });
   }
@@ -50,9 +58,9 @@
   function bounded(this: LogsWorld) {
     assert.equal(this.written.size, kinds.length * seconds);
     this.written.forEach((lines) => assert.equal(lines, 100));
-    const told = this.budget.takeLeftOut().reduce((sum, { lines }) => sum + lines, 0);
+    const told = this.budget.takeSuppressed().reduce((sum, { lines }) => sum + lines, 0);
     assert.equal(told, this.leftOut);
-    assert.deepEqual(this.budget.takeLeftOut(), []);
+    assert.deepEqual(this.budget.takeSuppressed(), []);
   },
 );
 
@@ -69,7 +77,7 @@
       return false;
     },
   };
-  this.output = new LineOutput(sink, this.outputMetrics);
+  this.output = new LossyLineStream(sink, this.outputMetrics);
 });
 
 Then(
@@ -95,24 +103,24 @@
 Then(/^the explanation of its id names (.+)$/, function explain(this: LogsWorld, cause: string) {
   const lines = this.platform.lines.map(toLine);
   const last = lines.filter(({ message }) => message.endsWith('Request failed.')).at(-1)!;
-  const explanation = new Explanation(String(last.id));
-  lines.forEach((line) => explanation.take(line));
-  const text = renderStory(explanation.story());
+  const explanation = new RequestTimeline(String(last.id));
+  lines.forEach((line) => explanation.addLine(line));
+  const text = renderTimeline(explanation.getEntries());
   assert.match(text.replaceAll('\n', ' '), new RegExp(cause), text);
 });
 
 Given(
   'the log of an entry that lost the store, was started anew and then failed a request',
   function restart(this: LogsWorld) {
-    const explanation = new Explanation('r1');
+    const explanation = new RequestTimeline('r1');
     [
       { message: 'fleet: Configuration in force.', fields: { version: 3 } },
       { message: 'store: Store not reachable.', fields: {} },
       { message: 'process: Started.', fields: {} },
       { message: 'fleet: Configuration in force.', fields: { version: 4 } },
       { message: 'callers: Request failed.', fields: { id: 'r1' } },
-    ].forEach((line, index) => explanation.take(toLine(line, index)));
-    this.story = renderStory(explanation.story());
+    ].forEach((line, index) => explanation.addLine(toLine(line, index)));
+    this.story = renderTimeline(explanation.getEntries());
   },
 );
 
--- a/features/steps/membership.steps.ts
+++ b/features/steps/membership.steps.ts
@@ -301,11 +301,11 @@
 
 Then('a pause shows on either clock and a busy moment does not', () => {
   const detector = new PauseDetector(0, 1_000_000, 1_500);
-  assert.equal(detector.look(1_000, 1_001_000).paused, false);
-  assert.equal(detector.look(3_000, 1_003_000).paused, true);
-  assert.equal(detector.look(3_100, 1_003_100).paused, false);
-  assert.equal(detector.look(3_200, 1_099_000).paused, true);
-  assert.equal(detector.look(3_300, 900_000).paused, false);
+  assert.equal(detector.check(1_000, 1_001_000).paused, false);
+  assert.equal(detector.check(3_000, 1_003_000).paused, true);
+  assert.equal(detector.check(3_100, 1_003_100).paused, false);
+  assert.equal(detector.check(3_200, 1_099_000).paused, true);
+  assert.equal(detector.check(3_300, 900_000).paused, false);
 });
 
 Then('its share of work grows from nothing to all within the ramp', () => {
--- a/features/steps/metrics.steps.ts
+++ b/features/steps/metrics.steps.ts
@@ -23,7 +23,7 @@
   id: string,
   leave?: AbortSignal,
 ): void {
-  const [host, port] = settings.callers.split(':');
+  const [host, port] = settings.callerAddress.split(':');
   const sent = httpRequest({
     host,
     port,
--- a/features/steps/metricsText.steps.ts
+++ b/features/steps/metricsText.steps.ts
@@ -13,7 +13,7 @@
   async function lines(this: TextWorld) {
     this.metrics = new HistogramMetrics();
     const sink = { writableLength: 0, write: () => true };
-    const log = new LoggerFactory('front-1', 'info', this.metrics, sink).part('line');
+    const log = new LoggerFactory('front-1', 'info', this.metrics, sink).forComponent('line');
     // All lines fall into one second of the budget's clock.
     await eventually(() => performance.now() % 1_000 < 500, 'a second has just begun');
     for (let line = 0; line < 250; line += 1) log.info('Request placed.');
@@ -54,7 +54,7 @@
     this.metrics = new HistogramMetrics();
     this.metrics.count('requests', { route: oddRoute });
     this.metrics.gauge('entries', 7);
-    this.metrics.sample(() => [{ name: 'proof_age_ms', value: Infinity }]);
+    this.metrics.registerGauges(() => [{ name: 'proof_age_ms', value: Infinity }]);
     [10, 20, 30].forEach((ms) => this.metrics.observe('wait', ms, { route: oddRoute }));
   },
 );
--- a/features/steps/platformPath.steps.ts
+++ b/features/steps/platformPath.steps.ts
@@ -139,7 +139,7 @@
   const asked = ask(this.platform, '/stream/x');
   await sleep(150);
   const stopped = this.platformEntry.stop();
-  const { status } = await fetch(`http://${this.platform.settings.readiness}/`);
+  const { status } = await fetch(`http://${this.platform.settings.readinessAddress}/`);
   this.readiness = status;
   this.got = await asked;
   await stopped;
--- a/features/steps/settings.steps.ts
+++ b/features/steps/settings.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { InvalidSettings } from '@laburnumstream/common';
-import { parseSettings, roleOf } from '@laburnumstream/runtime';
+import { parseSettings, parseRole } from '@laburnumstream/runtime';
 import fc from 'fast-check';
 import { anyJson, damagedJson, inputs } from '../support/fuzzInputs.js';
 
@@ -33,7 +33,7 @@
 
 function faultOf(text: string): string | undefined {
   try {
-    parseSettings(roleOf(file, text), file, text);
+    parseSettings(parseRole(file, text), file, text);
     return undefined;
   } catch (error) {
     assert.ok(error instanceof InvalidSettings, String(error));
--- a/features/steps/sidecar.steps.ts
+++ b/features/steps/sidecar.steps.ts
@@ -40,9 +40,9 @@
     regions: new Map([['a', 'r']]),
     firstPort: first!,
     linkBitsPerSecond: 1e9,
-    store: { address: '127.0.0.1:1', shortestLeaseMs: 1_000 },
+    store: { address: '127.0.0.1:1', minLeaseMs: 1_000 },
     heartbeatMs: 1_200,
-    endpoint: '127.0.0.1:9',
+    endpointAddress: '127.0.0.1:9',
     service: 'model',
     bounds: platformBounds,
   };
--- a/features/steps/stops.steps.ts
+++ b/features/steps/stops.steps.ts
@@ -39,7 +39,7 @@
   async function stop(this: StopsWorld) {
     const { settings } = this.platform;
     Object.assign(settings, { bounds: { ...settings.bounds, shutdownMs } });
-    const [host, port] = settings.callers.split(':');
+    const [host, port] = settings.callerAddress.split(':');
     this.stopText = '';
     this.stopCaller = connect({ host: host!, port: Number(port) });
     this.stopCaller.setEncoding('utf8');
--- a/features/steps/timeouts.steps.ts
+++ b/features/steps/timeouts.steps.ts
@@ -5,7 +5,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { After, Given, Then } from '@cucumber/cucumber';
-import { timeLimit } from '@laburnumstream/common';
+import { createTimeoutSignal } from '@laburnumstream/common';
 import { EngineClient, StoreClient } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { EngineWatch } from '@laburnumstream/sidecar';
@@ -70,7 +70,9 @@
   '50 signals with a timeout of 200 ms and an owner fire although memory is collected',
   async () => {
     const owner = new AbortController();
-    const all = Array.from({ length: signals }, () => firing(timeLimit(limitMs, owner.signal)));
+    const all = Array.from({ length: signals }, () =>
+      firing(createTimeoutSignal(limitMs, owner.signal)),
+    );
     assert.ok(await ends(Promise.all(all), 2_000), 'not all signals fired');
   },
 );
--- a/features/support/feedHistory.ts
+++ b/features/support/feedHistory.ts
@@ -60,7 +60,7 @@
     services: new Map(),
     limits,
     workspaces: holdsKey ? [workspace] : [],
-    needsKeys: true,
+    requiresKeys: true,
   };
   return { kind: 'configuration', configuration };
 }
--- a/features/support/grownFleet.ts
+++ b/features/support/grownFleet.ts
@@ -19,7 +19,7 @@
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
-  sample: () => undefined,
+  registerGauges: () => undefined,
 };
 
 /** A request that any endpoint may serve. */
@@ -71,10 +71,10 @@
       regions: this.regions,
       firstPort: 9_000,
       linkBitsPerSecond: 1e9,
-      store: { address: '10.2.0.1:1', shortestLeaseMs: 1_000 },
+      store: { address: '10.2.0.1:1', minLeaseMs: 1_000 },
       heartbeatMs: 1_200,
-      callers: '10.0.0.0:1',
-      readiness: '10.0.0.0:2',
+      callerAddress: '10.0.0.0:1',
+      readinessAddress: '10.0.0.0:2',
       isFirstStart: true,
       bounds: platformBounds,
     };
--- a/features/support/platformBounds.ts
+++ b/features/support/platformBounds.ts
@@ -6,7 +6,7 @@
   drainMs: 2_000,
   configurationMs: 1_000,
   revocationMs: 2_500,
-  refusesWithoutProof: true,
+  failsClosed: true,
   evacuationMs: 5_000,
   versionMs: 8_000,
   addressReuseMs: 2_000,
@@ -15,5 +15,5 @@
   retryWindowMs: 10_000,
   coldFactor: 1.5,
   coldSlack: 5,
-  eventDelayMs: 120,
+  maxEventDelayMs: 120,
 };
--- a/features/support/platformCaller.ts
+++ b/features/support/platformCaller.ts
@@ -26,7 +26,7 @@
   leave?: AbortSignal,
 ): Promise<Got> {
   ids += 1;
-  const [host, port] = settings.callers.split(':');
+  const [host, port] = settings.callerAddress.split(':');
   return new Promise((resolve, reject) => {
     const sent = httpRequest(
       {
@@ -73,7 +73,7 @@
   body: string,
 ): Socket {
   ids += 1;
-  const [host, port] = settings.callers.split(':');
+  const [host, port] = settings.callerAddress.split(':');
   const lines = [
     request,
     `Host: ${platformHost}`,
--- a/features/support/platformFleet.ts
+++ b/features/support/platformFleet.ts
@@ -84,11 +84,11 @@
     regions: new Map([['a', 'r']]),
     firstPort: first!,
     linkBitsPerSecond: 1e9,
-    store: { address: store, shortestLeaseMs: 1_000 },
+    store: { address: store, minLeaseMs: 1_000 },
     heartbeatMs: 1_200,
     isFirstStart: true,
-    callers: `127.0.0.1:${callers}`,
-    readiness: `127.0.0.1:${readiness}`,
+    callerAddress: `127.0.0.1:${callers}`,
+    readinessAddress: `127.0.0.1:${readiness}`,
     bounds: platformBounds,
   };
 }
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -8,7 +8,7 @@
   HttpInstanceList,
   HttpKeyValueStore,
   HttpWeightOrigin,
-  Instances,
+  InstanceCache,
 } from '@laburnumstream/clients';
 import { AgentService } from '@laburnumstream/protocol';
 import {
@@ -18,9 +18,9 @@
   PauseGuard,
   SystemClock,
   listen,
-  makeProcessAbort,
+  createProcessAbort,
   readChart,
-  splitAddress,
+  parseAddress,
   systemRandom,
 } from '@laburnumstream/runtime';
 import type { AgentSettings } from '@laburnumstream/runtime';
@@ -56,7 +56,7 @@
 
   private readonly metrics = new HistogramMetrics();
 
-  private readonly abort = makeProcessAbort();
+  private readonly abort = createProcessAbort();
 
   private readonly log: Log;
 
@@ -76,7 +76,7 @@
 
   private wasOut = false;
 
-  private readonly instances: Instances;
+  private readonly instances: InstanceCache;
 
   private readonly runs: RunHandler;
 
@@ -97,30 +97,30 @@
     private readonly logs: LoggerFactory,
   ) {
     const { options, platform } = settings;
-    this.log = logs.part('agent');
+    this.log = logs.forComponent('agent');
     this.secrets = new Secrets(settings.secrets);
     const now = (): number => this.clock.now();
     this.links = new LinkPool(this.secrets, options.linkAgeMs, now, this.abort.signal);
     const weightOf = (workspace: string): number => this.policyOf({ workspace }).weight;
     this.gate = new EndpointGate(policyDefaults, weightOf, this.clock, this.metrics);
-    this.instances = new Instances(
+    this.instances = new InstanceCache(
       new HttpInstanceList(platform.instances, options.platformTimeoutMs),
       this.clock,
       options.instanceListMs,
-      logs.part('instances'),
+      logs.forComponent('instances'),
       systemRandom,
     );
     this.follower = new ConfigurationFollower(
       this.links,
       (configuration) => this.applyConfiguration(configuration),
-      logs.part('configuration'),
+      logs.forComponent('configuration'),
     );
     this.presence = this.makePresence();
     this.guard = new PauseGuard(
       this.clock,
       options.pauseLimitMs,
       () => this.recheck(),
-      logs.part('process'),
+      logs.forComponent('process'),
     );
     this.endpoint = openEndpoint(settings, this.gate, this.clock);
     this.endpointRuns = new EndpointRuns(this.endpoint, () => this.keeper?.serving ?? '');
@@ -133,7 +133,7 @@
       store: new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs),
       clock: this.clock,
       metrics: this.metrics,
-      log: logs.part('requests'),
+      log: logs.forComponent('requests'),
       signal: this.abort.signal,
     });
     this.weights = new WeightStore(options.weightMemoryBytes);
@@ -145,7 +145,7 @@
   async start(): Promise<void> {
     const { settings, abort } = this;
     const { signal } = abort;
-    const { host, port } = splitAddress(settings.listen.internal);
+    const { host, port } = parseAddress(settings.listen.internal);
     this.internal = await serveInternal(
       { host, port, secrets: this.secrets },
       (router) => {
@@ -163,13 +163,13 @@
       signal,
     );
     await this.serveWeights(signal);
-    void this.instances.follow(signal);
+    void this.instances.run(signal);
     void this.presence.heartbeat.run(signal);
     void this.guard.run(signal);
     void this.followEndpoint(signal);
     this.keeper?.start(readChart('weights'), signal);
     const process = readChart('process');
-    this.lifecycle = new Lifecycle(process, {}, this.logs.part('process'), signal);
+    this.lifecycle = new Lifecycle(process, {}, this.logs.forComponent('process'), signal);
     this.lifecycle.send('READY');
     this.log.info('Agent started.', { internal: settings.listen.internal });
   }
@@ -210,7 +210,7 @@
       this.follower,
       () => this.runs.drain(),
       this.clock,
-      this.logs.part('heartbeat'),
+      this.logs.forComponent('heartbeat'),
     );
   }
 
@@ -235,7 +235,7 @@
       peers: this.peers,
       receiving: new ConstantPace(clock, options.weightBytesPerSecond),
     };
-    const log = logs.part('weights');
+    const log = logs.forComponent('weights');
     const store = new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs);
     return new WeightKeeper(
       settings,
@@ -254,7 +254,8 @@
 
   private neighbours(): number {
     const { service, dataCentre } = this.settings;
-    return this.instances.agentsOf(service).filter((each) => each.dataCentre === dataCentre).length;
+    return this.instances.getAgents(service).filter((each) => each.dataCentre === dataCentre)
+      .length;
   }
 
   private makePeers(): WeightPeers {
@@ -276,7 +277,7 @@
       service,
       state: InstanceState.live,
     };
-    return new WeightPeers(self, platform.originRegion, () => this.instances.agentsOf(service));
+    return new WeightPeers(self, platform.originRegion, () => this.instances.getAgents(service));
   }
 
   private async serveWeights(signal: AbortSignal): Promise<void> {
@@ -306,7 +307,7 @@
   private async followEndpoint(signal: AbortSignal): Promise<void> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     while (!signal.aborted) {
-      const report = await source?.load(signal).catch(() => undefined);
+      const report = await source?.getLoadReport(signal).catch(() => undefined);
       if (report) this.observe(report);
       await this.clock.sleep(loadPollMs, signal).catch(() => undefined);
     }
--- a/packages/agent/src/endpointRuns.ts
+++ b/packages/agent/src/endpointRuns.ts
@@ -57,7 +57,7 @@
   async checkAlive(): Promise<void> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     try {
-      this.bootId = (await source?.load())?.boot ?? '';
+      this.bootId = (await source?.getLoadReport())?.boot ?? '';
     } catch (error) {
       throw new Unavailable('The endpoint is down.', downRetryMs, error);
     }
@@ -98,7 +98,7 @@
   private async died(boot: string): Promise<boolean> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     try {
-      const report = await source?.load();
+      const report = await source?.getLoadReport();
       return boot !== '' && report?.boot !== boot;
     } catch {
       return true;
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -30,12 +30,12 @@
   const settings = parseSettings('agent', values.settings, readSettingsText(values.settings));
   const logs = new LoggerFactory(settings.instance, settings.log.level);
   const agent = new Agent(settings, logs);
-  onShutdown(() => agent.stop(), settings.options.shutdownMs, logs.part('process'));
+  onShutdown(() => agent.stop(), settings.options.shutdownMs, logs.forComponent('process'));
   const file = values.settings;
   onReload(() => {
     const { secrets } = parseSettings('agent', file, readSettingsText(file));
     agent.replaceSecrets(secrets);
-  }, logs.part('process'));
+  }, logs.forComponent('process'));
   await agent.start();
 }
 
--- a/packages/agent/src/runStream.ts
+++ b/packages/agent/src/runStream.ts
@@ -1,5 +1,5 @@
 import { LinkedAbort, OutcomeUnknown, toFailure } from '@laburnumstream/common';
-import type { Clock, Failure, PlainAnswer } from '@laburnumstream/common';
+import type { Clock, Failure, PlainResponse } from '@laburnumstream/common';
 import { answerDigest, callDigest } from '@laburnumstream/decisions';
 import { toRefusal } from '@laburnumstream/links';
 import type { MessageInitShape } from '@laburnumstream/links';
@@ -19,7 +19,7 @@
 
   private readonly texts: string[] = [];
 
-  private answer: PlainAnswer | undefined;
+  private answer: PlainResponse | undefined;
 
   private failed: Failure | undefined;
 
@@ -42,7 +42,7 @@
     return this.failed;
   }
 
-  get plainAnswer(): PlainAnswer | undefined {
+  get plainAnswer(): PlainResponse | undefined {
     return this.answer;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Ends the run; a plain service's answer comes with its end. */
-  finish(answer?: PlainAnswer): void {
+  finish(answer?: PlainResponse): void {
     this.answer = answer;
     this.done = true;
     this.wake();
--- a/packages/agent/src/watchedEngine.ts
+++ b/packages/agent/src/watchedEngine.ts
@@ -41,8 +41,8 @@
     return this.engine.cancel(id, signal);
   }
 
-  load(signal?: AbortSignal): Promise<LoadReport> {
-    return this.engine.load(signal);
+  getLoadReport(signal?: AbortSignal): Promise<LoadReport> {
+    return this.engine.getLoadReport(signal);
   }
 
   /** New weights leave the engine cold: the limit falls before the order and after it. */
--- a/packages/agent/src/watchedPlainService.ts
+++ b/packages/agent/src/watchedPlainService.ts
@@ -1,4 +1,4 @@
-import type { LoadReport, PlainAnswer, PlainCall, PlainService } from '@laburnumstream/common';
+import type { LoadReport, PlainResponse, PlainCall, PlainService } from '@laburnumstream/common';
 import { watchFailure } from './coldSigns.js';
 import type { EndpointGate } from './endpointGate.js';
 
@@ -9,7 +9,7 @@
     private readonly gate: EndpointGate,
   ) {}
 
-  async call(call: PlainCall, signal: AbortSignal): Promise<PlainAnswer> {
+  async call(call: PlainCall, signal: AbortSignal): Promise<PlainResponse> {
     try {
       return await this.service.call(call, signal);
     } catch (error) {
@@ -18,7 +18,7 @@
     }
   }
 
-  load(signal?: AbortSignal): Promise<LoadReport> {
-    return this.service.load(signal);
+  getLoadReport(signal?: AbortSignal): Promise<LoadReport> {
+    return this.service.getLoadReport(signal);
   }
 }
--- a/packages/agent/src/weightKeeper.ts
+++ b/packages/agent/src/weightKeeper.ts
@@ -209,7 +209,7 @@
     const { digest } = this.wanted!;
     await this.awaitFormerHolder(signal);
     // The version may have been stopped, or the endpoint switched, while this process was paused.
-    const report = await this.engine.load(signal);
+    const report = await this.engine.getLoadReport(signal);
     this.observe(report);
     if (!this.isWanted(this.wanted) || serves(report, digest)) return 'FAILED';
     // A paused process may wake after its lease has ended: check right before the order.
@@ -241,7 +241,7 @@
     const { manifest } = version;
     try {
       await this.engine.order({ kind: 'load', fencing, manifest, digest, source }, signal);
-      const report = await this.engine.load(signal);
+      const report = await this.engine.getLoadReport(signal);
       this.loaded = { digest, fencing, at: this.clock.now() };
       this.observe(report);
       if (!serves(report, digest)) throw new StaleOrder('The endpoint serves another version.');
--- a/packages/agent/src/weightStore.ts
+++ b/packages/agent/src/weightStore.ts
@@ -1,4 +1,4 @@
-import { NotFound, Overloaded, timeLimit } from '@laburnumstream/common';
+import { NotFound, Overloaded, createTimeoutSignal } from '@laburnumstream/common';
 import type { Manifest } from '@laburnumstream/common';
 
 /** One version of weights, whole or in transfer. */
@@ -105,7 +105,7 @@
     return new Promise((resolve) => {
       const waiters = this.waiters.get(digest) ?? new Set();
       this.waiters.set(digest, waiters);
-      const limit = timeLimit(waitMs, signal);
+      const limit = createTimeoutSignal(waitMs, signal);
       const check = (): void => {
         const found = held();
         if (!found && !limit.aborted) return;
--- a/packages/cli/src/commands/explainCommand.ts
+++ b/packages/cli/src/commands/explainCommand.ts
@@ -2,12 +2,12 @@
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 import { InvalidInput, NotFound } from '@laburnumstream/common';
-import { Explanation, parseLogLine, renderStory } from '../explanation.js';
+import { RequestTimeline, parseLogLine, renderTimeline } from '../explanation.js';
 
-async function readLines(source: Readable, explanation: Explanation): Promise<void> {
+async function readLines(source: Readable, explanation: RequestTimeline): Promise<void> {
   for await (const text of createInterface({ input: source })) {
     const line = parseLogLine(text);
-    if (line) explanation.take(line);
+    if (line) explanation.addLine(line);
   }
 }
 
@@ -17,10 +17,10 @@
  */
 export async function explain(id: string | undefined, files: readonly string[]): Promise<string> {
   if (!id) throw new InvalidInput('The argument ID is missing.');
-  const explanation = new Explanation(id);
+  const explanation = new RequestTimeline(id);
   if (files.length === 0) await readLines(process.stdin, explanation);
   for (const file of files) await readLines(createReadStream(file), explanation);
-  const story = explanation.story();
+  const story = explanation.getEntries();
   if (story.length === 0) throw new NotFound(`No line names the request ${id}.`);
-  return renderStory(story);
+  return renderTimeline(story);
 }
--- a/packages/cli/src/commands/operatorCommands.ts
+++ b/packages/cli/src/commands/operatorCommands.ts
@@ -2,9 +2,9 @@
 import { InvalidInput } from '@laburnumstream/common';
 import type { Command, Invocation } from '../command.js';
 import { renderAudit, renderChange, renderExceptions, renderStatus } from './rendering.js';
-import { awaitRollOut } from './rollOutProgress.js';
+import { waitForRollOut } from './rollOutProgress.js';
 
-function required({ positionals }: Invocation, position: number, name: string): string {
+function getRequiredArgument({ positionals }: Invocation, position: number, name: string): string {
   const value = positionals[position];
   if (value) return value;
   throw new InvalidInput(`The argument ${name} is missing.`);
@@ -19,11 +19,11 @@
 }
 
 /** The body of a change: its fields, why and how. */
-function changeBody({ reason, mode }: Invocation, fields: object = {}): object {
+function createChangeBody({ reason, mode }: Invocation, fields: object = {}): object {
   return { ...fields, ...mode, reason };
 }
 
-function auditPath({ since, limit }: Invocation): string {
+function createAuditPath({ since, limit }: Invocation): string {
   const query = new URLSearchParams();
   if (since !== undefined) query.set('since', since);
   if (limit !== undefined) query.set('limit', limit);
@@ -33,34 +33,34 @@
 const exceptionActions: Readonly<Record<string, (invocation: Invocation) => Promise<unknown>>> = {
   list: ({ client }) => client.call('GET', 'exceptions'),
   add: (invocation) => {
-    const fields = readObject(required(invocation, 1, 'FILE'));
-    return invocation.client.call('POST', 'exceptions', changeBody(invocation, fields));
+    const fields = readObject(getRequiredArgument(invocation, 1, 'FILE'));
+    return invocation.client.call('POST', 'exceptions', createChangeBody(invocation, fields));
   },
   remove: (invocation) => {
-    const path = `exceptions/${encodeURIComponent(required(invocation, 1, 'ID'))}`;
-    return invocation.client.call('DELETE', path, changeBody(invocation));
+    const path = `exceptions/${encodeURIComponent(getRequiredArgument(invocation, 1, 'ID'))}`;
+    return invocation.client.call('DELETE', path, createChangeBody(invocation));
   },
 };
 
 const convictionActions: Readonly<Record<string, (invocation: Invocation) => Promise<unknown>>> = {
   list: ({ client }) => client.call('GET', 'convictions'),
   lift: (invocation) => {
-    const path = `convictions/${encodeURIComponent(required(invocation, 1, 'FINGERPRINT'))}`;
+    const path = `convictions/${encodeURIComponent(getRequiredArgument(invocation, 1, 'FINGERPRINT'))}`;
     return invocation.client.call('DELETE', path, { reason: invocation.reason });
   },
 };
 
 const rollOutActions: Readonly<Record<string, (invocation: Invocation) => Promise<unknown>>> = {
   start: async (invocation) => {
-    const model = required(invocation, 1, 'MODEL');
-    const version = required(invocation, 2, 'VERSION');
-    const body = changeBody(invocation, { version });
+    const model = getRequiredArgument(invocation, 1, 'MODEL');
+    const version = getRequiredArgument(invocation, 2, 'VERSION');
+    const body = createChangeBody(invocation, { version });
     const answer = await invocation.client.call('POST', `roll-outs/${model}`, body);
-    return invocation.wait ? awaitRollOut(invocation, model) : answer;
+    return invocation.wait ? waitForRollOut(invocation, model) : answer;
   },
   status: (invocation) => {
-    const model = required(invocation, 1, 'MODEL');
-    if (invocation.wait) return awaitRollOut(invocation, model);
+    const model = getRequiredArgument(invocation, 1, 'MODEL');
+    if (invocation.wait) return waitForRollOut(invocation, model);
     return invocation.client.call('GET', `roll-outs/${model}`);
   },
 };
@@ -69,18 +69,18 @@
   actions: Readonly<Record<string, (invocation: Invocation) => Promise<unknown>>>,
   invocation: Invocation,
 ): Promise<unknown> {
-  const action = actions[required(invocation, 0, 'ACTION')];
+  const action = actions[getRequiredArgument(invocation, 0, 'ACTION')];
   if (action) return action(invocation);
   throw new InvalidInput(`The action must be one of ${Object.keys(actions).join(', ')}.`);
 }
 
-function dataCentreCommand(action: string, summary: string): Command {
+function createDataCentreCommand(action: string, summary: string): Command {
   return {
     usage: `${action} DATA-CENTRE --reason TEXT`,
     summary,
     run: async (invocation) => {
-      const name = encodeURIComponent(required(invocation, 0, 'DATA-CENTRE'));
-      const body = changeBody(invocation);
+      const name = encodeURIComponent(getRequiredArgument(invocation, 0, 'DATA-CENTRE'));
+      const body = createChangeBody(invocation);
       return invocation.client.call('POST', `data-centres/${name}/${action}`, body);
     },
     render: renderChange,
@@ -98,8 +98,8 @@
     usage: 'apply FILE --reason TEXT [--dry-run] [--if-revision N]',
     summary: 'patches parts of the configuration item by item; null removes an item',
     run: async (invocation) => {
-      const parts = readObject(required(invocation, 0, 'FILE'));
-      const body = changeBody(invocation, parts);
+      const parts = readObject(getRequiredArgument(invocation, 0, 'FILE'));
+      const body = createChangeBody(invocation, parts);
       return invocation.client.call('POST', 'configuration', body);
     },
     render: renderChange,
@@ -115,8 +115,8 @@
     summary: 'shows or lifts refusals of requests that crash endpoints',
     run: async (invocation) => runAction(convictionActions, invocation),
   },
-  'take-out': dataCentreCommand('take-out', 'takes a data centre out of service'),
-  return: dataCentreCommand('return', 'returns a data centre to service'),
+  'take-out': createDataCentreCommand('take-out', 'takes a data centre out of service'),
+  return: createDataCentreCommand('return', 'returns a data centre to service'),
   'roll-out': {
     usage: 'roll-out start MODEL VERSION --reason TEXT | status MODEL [--wait]',
     summary: 'starts or shows the roll-out of a version',
@@ -131,14 +131,14 @@
   audit: {
     usage: 'audit [--since REVISION] [--limit N]',
     summary: 'shows the audit trail of changes, older parts included',
-    run: (invocation) => invocation.client.call('GET', auditPath(invocation)),
+    run: (invocation) => invocation.client.call('GET', createAuditPath(invocation)),
     render: renderAudit,
   },
   change: {
     usage: 'change CHANGE-ID',
     summary: 'tells whether a change is accepted',
     run: async (invocation) => {
-      const id = encodeURIComponent(required(invocation, 0, 'CHANGE-ID'));
+      const id = encodeURIComponent(getRequiredArgument(invocation, 0, 'CHANGE-ID'));
       return invocation.client.call('GET', `changes/${id}`);
     },
     render: renderChange,
--- a/packages/cli/src/commands/rendering.ts
+++ b/packages/cli/src/commands/rendering.ts
@@ -1,5 +1,5 @@
-const indent = 2;
-const longestValue = 100;
+const indentSpaces = 2;
+const maxValueLength = 100;
 
 interface ItemChange {
   readonly path: string;
@@ -18,7 +18,7 @@
   readonly changes: readonly ItemChange[];
 }
 
-interface ChangeAnswer {
+interface ChangeResponse {
   readonly accepted: boolean;
   readonly dryRun?: boolean;
   readonly revision: number | null;
@@ -32,21 +32,21 @@
 }
 
 /** An answer as indented JSON. */
-export function indented(answer: unknown): string {
-  return JSON.stringify(answer, null, indent);
+export function formatJson(answer: unknown): string {
+  return JSON.stringify(answer, null, indentSpaces);
 }
 
-function short(value: unknown): string {
+function formatValue(value: unknown): string {
   const text = value === undefined ? 'none' : JSON.stringify(value);
-  return text.length > longestValue ? `${text.slice(0, longestValue)}…` : text;
+  return text.length > maxValueLength ? `${text.slice(0, maxValueLength)}…` : text;
 }
 
-function changeLine({ path, from, to }: ItemChange): string {
-  return `  ${path}: ${short(from)} -> ${short(to)}`;
+function formatItemChange({ path, from, to }: ItemChange): string {
+  return `  ${path}: ${formatValue(from)} -> ${formatValue(to)}`;
 }
 
 /** Rows in columns that are as wide as their longest cell. */
-function table(rows: readonly (readonly string[])[]): string {
+function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
   );
@@ -69,7 +69,7 @@
     changeId,
     changes = [],
     effects = [],
-  } = answer as ChangeAnswer;
+  } = answer as ChangeResponse;
   if (!dryRun) {
     const outcome = accepted ? `accepted as revision ${revision}` : 'not accepted up to now';
     return `${outcome} (change ${changeId})`;
@@ -83,7 +83,7 @@
   return [
     `dry run at revision ${revision}; nothing is changed`,
     'items:',
-    ...changes.map(changeLine),
+    ...changes.map(formatItemChange),
     'policy in force:',
     ...(effects.length > 0 ? effectLines : noEffect),
   ].join('\n');
@@ -94,7 +94,7 @@
   const { records, complete } = answer as { records: readonly AuditRecord[]; complete: boolean };
   const lines = records.flatMap(({ revision, at, author, action, reason, outcome, changes }) => [
     `${revision}  ${new Date(at).toISOString()}  ${author}  ${action}: ${reason} (${outcome})`,
-    ...changes.map(changeLine),
+    ...changes.map(formatItemChange),
   ]);
   return [...lines, ...(complete ? [] : ['older records are out of reach'])].join('\n');
 }
@@ -123,10 +123,10 @@
     item.expiresAt ? new Date(item.expiresAt).toISOString() : 'never',
     item.reason,
   ]);
-  return table([['ID', 'SCOPE', 'POLICY', 'AUTHOR', 'EXPIRES', 'REASON'], ...rows]);
+  return formatTable([['ID', 'SCOPE', 'POLICY', 'AUTHOR', 'EXPIRES', 'REASON'], ...rows]);
 }
 
-interface StatusAnswer {
+interface StatusResponse {
   readonly instance: string;
   readonly revision: number;
   readonly dataCentres: Readonly<Record<string, { readonly state: string }>>;
@@ -143,7 +143,7 @@
 
 /** What one entry knows of data centres and agents. */
 export function renderStatus(answer: unknown): string {
-  const { instance, revision, dataCentres, members } = answer as StatusAnswer;
+  const { instance, revision, dataCentres, members } = answer as StatusResponse;
   const centres = Object.entries(dataCentres).map(([name, { state }]) => `${name} ${state}`);
   const rows = members.map(({ name, dataCentre, service, leaving, inFlight, limit, queued }) => [
     name,
@@ -155,6 +155,6 @@
   ]);
   return [
     `${instance}: configuration ${revision}; data centres: ${centres.join(', ')}`,
-    table([['AGENT', 'DATA CENTRE', 'SERVICE', 'STATE', 'RUNNING', 'QUEUED'], ...rows]),
+    formatTable([['AGENT', 'DATA CENTRE', 'SERVICE', 'STATE', 'RUNNING', 'QUEUED'], ...rows]),
   ].join('\n');
 }
--- a/packages/cli/src/commands/rollOutProgress.ts
+++ b/packages/cli/src/commands/rollOutProgress.ts
@@ -4,7 +4,7 @@
 const pollMs = 500;
 const secondMs = 1_000;
 
-function describe(left: number | undefined): string {
+function formatTimeLeft(left: number | undefined): string {
   return left === undefined ? '' : `, ${Math.ceil(left / secondMs)} s left`;
 }
 
@@ -18,14 +18,14 @@
 }
 
 /** Waits until a roll-out ends; shows progress when standard error is a terminal. */
-export async function awaitRollOut({ client }: Invocation, model: string): Promise<unknown> {
+export async function waitForRollOut({ client }: Invocation, model: string): Promise<unknown> {
   let progress: Progress;
   do {
     progress = (await client.call('GET', `roll-outs/${model}`)) as Progress;
     const { done, endpoints, version, timeLeftMs } = progress;
     if (process.stderr.isTTY) {
       const text = `${model} ${version}: ${done} of ${endpoints} endpoints`;
-      process.stderr.write(`\r${text}${describe(timeLeftMs)}`);
+      process.stderr.write(`\r${text}${formatTimeLeft(timeLeftMs)}`);
     }
     if (done < endpoints || endpoints === 0) await sleep(pollMs);
   } while (!progress.stopped && (progress.done < progress.endpoints || progress.endpoints === 0));
--- a/packages/cli/src/explanation.ts
+++ b/packages/cli/src/explanation.ts
@@ -7,28 +7,28 @@
 }
 
 /** A line of a story: something about the request itself, or what a process believed then. */
-export interface StoryLine {
+export interface TimelineEntry {
   readonly line: LogLine;
-  readonly isBelief: boolean;
+  readonly isProcessState: boolean;
 }
 
 /** What a line says of the state of its process; a later line of the same subject replaces it. */
-type Subject = (line: LogLine) => string | undefined;
+type SubjectSelector = (line: LogLine) => string | undefined;
 
-function endpointOf({ endpoint }: LogLine): string | undefined {
+function getEndpoint({ endpoint }: LogLine): string | undefined {
   return typeof endpoint === 'string' ? endpoint : undefined;
 }
 
 /** The subjects of lines on what a process believes, by message. */
-const subjects: Readonly<Record<string, Subject>> = {
+const subjects: Readonly<Record<string, SubjectSelector>> = {
   'fleet: Configuration in force.': () => 'configuration',
   'store: Store not reachable.': () => 'store',
   'store: Store reachable again.': () => 'store',
   'fleet: Version named.': () => 'version',
-  'fleet: Endpoint registered.': endpointOf,
-  'fleet: Endpoint gone.': endpointOf,
+  'fleet: Endpoint registered.': getEndpoint,
+  'fleet: Endpoint gone.': getEndpoint,
   'store: Not registered; it may come back.': ({ key }) => String(key),
-  'sidecars: Engine changed.': endpointOf,
+  'sidecars: Engine changed.': getEndpoint,
   'process: Shutdown started.': () => 'process',
   'process: Started.': () => 'process',
 };
@@ -37,7 +37,7 @@
 const startMessage = 'process: Started.';
 
 /** Forgets what a process believed that has been started anew. */
-function forgetBefore({ instance }: LogLine, latest: Map<string, LogLine>): void {
+function discardStateOf({ instance }: LogLine, latest: Map<string, LogLine>): void {
   latest.forEach((line, key) => {
     if (line.instance === instance) latest.delete(key);
   });
@@ -60,63 +60,63 @@
 }
 
 /** Collects the story of one request from the lines of any number of processes. */
-export class Explanation {
-  private readonly own: LogLine[] = [];
+export class RequestTimeline {
+  private readonly requestLines: LogLine[] = [];
 
-  private readonly beliefs: LogLine[] = [];
+  private readonly stateLines: LogLine[] = [];
 
   constructor(private readonly id: string) {}
 
-  take(line: LogLine): void {
-    if (line.id === this.id) this.own.push(line);
-    else if (subjects[line.message]) this.beliefs.push(line);
+  addLine(line: LogLine): void {
+    if (line.id === this.id) this.requestLines.push(line);
+    else if (subjects[line.message]) this.stateLines.push(line);
   }
 
   /**
    * The request's lines in order of time, and before them what the processes that handled it
    * believed when it came, as far as that concerns it. Empty when no line names the request.
    */
-  story(): StoryLine[] {
-    const own = [...this.own].sort((a, b) => a.timestamp.localeCompare(b.timestamp));
+  getEntries(): TimelineEntry[] {
+    const own = [...this.requestLines].sort((a, b) => a.timestamp.localeCompare(b.timestamp));
     const [first] = own;
     if (!first) return [];
     const last = own.at(-1)!;
     const instances = new Set(own.map(({ instance }) => instance));
-    const endpoints = new Set(own.flatMap((line) => endpointOf(line) ?? []));
+    const endpoints = new Set(own.flatMap((line) => getEndpoint(line) ?? []));
     const latest = new Map<string, LogLine>();
-    const during: StoryLine[] = [];
-    [...this.beliefs]
+    const during: TimelineEntry[] = [];
+    [...this.stateLines]
       .sort((a, b) => a.timestamp.localeCompare(b.timestamp))
       .filter((line) => instances.has(line.instance) && line.timestamp <= last.timestamp)
-      .filter((line) => endpointOf(line) === undefined || endpoints.has(endpointOf(line)!))
+      .filter((line) => getEndpoint(line) === undefined || endpoints.has(getEndpoint(line)!))
       .forEach((line) => {
         const subject = subjects[line.message]!(line);
-        if (line.timestamp > first.timestamp) during.push({ line, isBelief: true });
+        if (line.timestamp > first.timestamp) during.push({ line, isProcessState: true });
         else {
-          if (line.message === startMessage) forgetBefore(line, latest);
+          if (line.message === startMessage) discardStateOf(line, latest);
           // Set anew, so that the latest belief stands last.
           latest.delete(`${line.instance} ${subject}`);
           latest.set(`${line.instance} ${subject}`, line);
         }
       });
-    const before = [...latest.values()].map((line) => ({ line, isBelief: true }));
-    const after = [...own.map((line) => ({ line, isBelief: false })), ...during].sort((a, b) =>
-      a.line.timestamp.localeCompare(b.line.timestamp),
+    const before = [...latest.values()].map((line) => ({ line, isProcessState: true }));
+    const after = [...own.map((line) => ({ line, isProcessState: false })), ...during].sort(
+      (a, b) => a.line.timestamp.localeCompare(b.line.timestamp),
     );
     return [...before, ...after];
   }
 }
 
-const hidden = new Set(['timestamp', 'instance', 'message', 'level', 'id']);
+const hiddenFields = new Set(['timestamp', 'instance', 'message', 'level', 'id']);
 
 /** The story as text, one line for each step. */
-export function renderStory(story: readonly StoryLine[]): string {
+export function renderTimeline(story: readonly TimelineEntry[]): string {
   return story
-    .map(({ line, isBelief }) => {
+    .map(({ line, isProcessState }) => {
       const fields = Object.entries(line)
-        .filter(([name]) => !hidden.has(name))
+        .filter(([name]) => !hiddenFields.has(name))
         .map(([name, value]) => `${name}=${JSON.stringify(value)}`);
-      const mark = isBelief ? '(state)' : '       ';
+      const mark = isProcessState ? '(state)' : '       ';
       return `${line.timestamp} ${line.instance} ${mark} ${line.message} ${fields.join(' ')}`;
     })
     .join('\n');
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -10,12 +10,12 @@
   onShutdown,
   parseSettings,
   readSettingsText,
-  roleOf,
+  parseRole,
 } from '@laburnumstream/runtime';
 import type { ChangeMode } from './command.js';
 import { explain } from './commands/explainCommand.js';
 import { operatorCommands } from './commands/operatorCommands.js';
-import { indented } from './commands/rendering.js';
+import { formatJson } from './commands/rendering.js';
 import { OperatorClient } from './operatorClient.js';
 
 const addressVariable = 'LABURNUMSTREAM_ADDRESS';
@@ -75,18 +75,18 @@
   const settings = parseSettings('entry', file, readSettingsText(file));
   const logs = new LoggerFactory(settings.instance, settings.log.level);
   const entry = new Entry(settings, logs);
-  onShutdown(() => entry.stop(), settings.options.shutdownMs, logs.part('process'));
+  onShutdown(() => entry.stop(), settings.options.shutdownMs, logs.forComponent('process'));
   onReload(() => {
     const { secrets } = parseSettings('entry', file, readSettingsText(file));
     entry.replaceSecrets(secrets);
-  }, logs.part('process'));
+  }, logs.forComponent('process'));
   await entry.start();
 }
 
 function checkSettings(file: string | undefined): void {
   if (!file) throw new InvalidSettings('The argument FILE is missing.');
   const text = readSettingsText(file);
-  const role = roleOf(file, text);
+  const role = parseRole(file, text);
   parseSettings(role, file, text);
   process.stdout.write(`${file}: valid settings of an ${role}\n`);
 }
@@ -103,7 +103,7 @@
   const { reason = '', json = false, wait = false, since, limit } = values;
   const mode = changeModeOf(values);
   const result = await command.run({ positionals, client, reason, wait, mode, since, limit });
-  const text = json ? JSON.stringify(result) : (command.render ?? indented)(result);
+  const text = json ? JSON.stringify(result) : (command.render ?? formatJson)(result);
   process.stdout.write(`${text}\n`);
 }
 
--- a/packages/cli/src/operatorClient.ts
+++ b/packages/cli/src/operatorClient.ts
@@ -6,7 +6,11 @@
   readonly error?: { readonly type?: string; readonly message?: string };
 }
 
-function unreachable(baseUrl: string, body: object | undefined, error: unknown): Failure {
+function createUnreachableFailure(
+  baseUrl: string,
+  body: object | undefined,
+  error: unknown,
+): Failure {
   const { changeId } = (body ?? {}) as { readonly changeId?: string };
   const advice = changeId
     ? `; it is unknown whether the change was accepted: resend it with --change-id ${changeId}`
@@ -28,10 +32,10 @@
       headers: { authorization: `Bearer ${this.token}`, 'content-type': 'application/json' },
       body: body ? JSON.stringify(body) : null,
     }).catch((error: unknown) => {
-      throw unreachable(this.baseUrl, body, error);
+      throw createUnreachableFailure(this.baseUrl, body, error);
     });
     const value = await answer.json().catch((error: unknown) => {
-      throw unreachable(this.baseUrl, body, error);
+      throw createUnreachableFailure(this.baseUrl, body, error);
     });
     if (statusCode === 200) return value;
     const { error } = value as FailureBody;
--- a/packages/clients/src/httpClient.ts
+++ b/packages/clients/src/httpClient.ts
@@ -1,17 +1,22 @@
 import { Pool } from 'undici';
 import type { Dispatcher } from 'undici';
-import { Aborted, ConnectionReset, StoreUnavailable, timeLimit } from '@laburnumstream/common';
+import {
+  Aborted,
+  ConnectionReset,
+  StoreUnavailable,
+  createTimeoutSignal,
+} from '@laburnumstream/common';
 import type { Failure } from '@laburnumstream/common';
-import { connectorWith } from '@laburnumstream/runtime';
+import { createConnector } from '@laburnumstream/runtime';
 
 /** A response with its whole body. */
-export interface Response {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
 
 /** A request of {@link HttpClient}. */
-export interface Request {
+export interface HttpRequest {
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
   readonly body?: string | Buffer;
@@ -20,16 +25,16 @@
 }
 
 /** Makes the failure for a connection that broke or never came to be. */
-export type ConnectionFailure = (message: string, cause: unknown) => Failure;
+export type ConnectionFailureFactory = (message: string, cause: unknown) => Failure;
 
-const storeUnavailable: ConnectionFailure = (message, cause) =>
+const createStoreUnavailable: ConnectionFailureFactory = (message, cause) =>
   new StoreUnavailable(message, cause);
 
 /** Code of connections that the peer closed, unlike those closed by this side. */
-const closedCode = 'UND_ERR_SOCKET';
+const socketClosedCode = 'UND_ERR_SOCKET';
 
-function isLoss(error: Error): boolean {
-  return error instanceof ConnectionReset || (error as { code?: string }).code === closedCode;
+function isConnectionLoss(error: Error): boolean {
+  return error instanceof ConnectionReset || (error as { code?: string }).code === socketClosedCode;
 }
 
 /** A small JSON and bytes client over one pool of connections. */
@@ -41,22 +46,22 @@
   constructor(
     baseUrl: string,
     private readonly timeoutMs: number,
-    private readonly failure: ConnectionFailure = storeUnavailable,
+    private readonly createFailure: ConnectionFailureFactory = createStoreUnavailable,
     connections = 16,
     onLoss?: () => void,
   ) {
     const url = new URL(baseUrl);
     this.prefix = url.pathname.replace(/\/$/, '');
-    this.pool = new Pool(url.origin, { connections, pipelining: 1, connect: connectorWith() });
+    this.pool = new Pool(url.origin, { connections, pipelining: 1, connect: createConnector() });
     if (!onLoss) return;
     this.pool.on('disconnect', (_origin, _targets, error) => {
-      if (isLoss(error)) onLoss();
+      if (isConnectionLoss(error)) onLoss();
     });
   }
 
   /** Sends a request and reads the whole response; throws the client's connection failure. */
-  async send(request: Request): Promise<Response> {
-    const signal = timeLimit(request.timeoutMs ?? this.timeoutMs, request.signal);
+  async send(request: HttpRequest): Promise<HttpResponse> {
+    const signal = createTimeoutSignal(request.timeoutMs ?? this.timeoutMs, request.signal);
     try {
       const { statusCode, body } = await this.pool.request({
         method: request.method,
@@ -67,12 +72,12 @@
       return { status: statusCode, body: Buffer.from(await body.arrayBuffer()) };
     } catch (error) {
       if (request.signal?.aborted) throw new Aborted();
-      throw this.failure(`${request.method} ${request.path} failed: ${String(error)}`, error);
+      throw this.createFailure(`${request.method} ${request.path} failed: ${String(error)}`, error);
     }
   }
 
   /** Sends a request and returns the body as a stream of bytes. */
-  async stream(request: Request): Promise<{ status: number; body: AsyncIterable<Buffer> }> {
+  async stream(request: HttpRequest): Promise<{ status: number; body: AsyncIterable<Buffer> }> {
     try {
       const { statusCode, body } = await this.pool.request({
         method: request.method,
@@ -85,7 +90,7 @@
       return { status: statusCode, body };
     } catch (error) {
       if (request.signal?.aborted) throw new Aborted();
-      throw this.failure(`${request.method} ${request.path} failed: ${String(error)}`, error);
+      throw this.createFailure(`${request.method} ${request.path} failed: ${String(error)}`, error);
     }
   }
 
--- a/packages/clients/src/httpKeyValueStore.ts
+++ b/packages/clients/src/httpKeyValueStore.ts
@@ -1,14 +1,14 @@
 import { Conflict, NotFound, StoreUnavailable } from '@laburnumstream/common';
 import type { KeyValueStore, StoredValue, WriteCondition } from '@laburnumstream/common';
 import { HttpClient } from './httpClient.js';
-import type { Request, Response } from './httpClient.js';
+import type { HttpRequest, HttpResponse } from './httpClient.js';
 
 /** Time beyond a watch's own wait before its connection counts as dead, in milliseconds. */
 const watchGraceMs = 2_000;
 
-const pathOf = (key: string): string => `/kv/${encodeURIComponent(key)}`;
+const toPath = (key: string): string => `/kv/${encodeURIComponent(key)}`;
 
-function parse<Value>(response: Response): Value {
+function parse<Value>(response: HttpResponse): Value {
   try {
     return JSON.parse(response.body.toString()) as Value;
   } catch (error) {
@@ -25,7 +25,7 @@
   }
 
   async get(key: string, signal?: AbortSignal): Promise<StoredValue | undefined> {
-    const response = await this.send({ method: 'GET', path: pathOf(key), signal }, [200, 404]);
+    const response = await this.send({ method: 'GET', path: toPath(key), signal }, [200, 404]);
     return response.status === 404 ? undefined : parse<StoredValue>(response);
   }
 
@@ -43,7 +43,7 @@
     const query = new URLSearchParams();
     if (condition.ifRevision !== undefined) query.set('ifRevision', String(condition.ifRevision));
     if (condition.lease) query.set('lease', condition.lease);
-    const path = `${pathOf(key)}?${query.toString()}`;
+    const path = `${toPath(key)}?${query.toString()}`;
     const response = await this.send({ method: 'PUT', path, body: value, signal }, [200, 404, 409]);
     if (response.status === 409) throw new Conflict(`The value of ${key} changed meanwhile.`);
     if (response.status === 404) throw new NotFound(`The lease for ${key} has ended.`);
@@ -52,7 +52,7 @@
 
   async remove(key: string, ifRevision?: number, signal?: AbortSignal): Promise<void> {
     const query = ifRevision === undefined ? '' : `?ifRevision=${ifRevision}`;
-    const path = `${pathOf(key)}${query}`;
+    const path = `${toPath(key)}${query}`;
     const response = await this.send({ method: 'DELETE', path, signal }, [200, 404, 409]);
     if (response.status === 409) throw new Conflict(`The value of ${key} changed meanwhile.`);
   }
@@ -63,7 +63,7 @@
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<StoredValue | undefined> {
-    const path = `${pathOf(key)}?after=${after}&waitMs=${waitMs}`;
+    const path = `${toPath(key)}?after=${after}&waitMs=${waitMs}`;
     const timeoutMs = waitMs + watchGraceMs;
     const response = await this.send({ method: 'GET', path, timeoutMs, signal }, [200, 204]);
     return response.status === 204 ? undefined : parse<StoredValue>(response);
@@ -85,7 +85,7 @@
     await this.send({ method: 'DELETE', path: `/leases/${lease}`, signal }, [200, 404]);
   }
 
-  private async send(request: Request, expected: readonly number[]): Promise<Response> {
+  private async send(request: HttpRequest, expected: readonly number[]): Promise<HttpResponse> {
     const response = await this.client.send(request);
     if (expected.includes(response.status)) return response;
     throw new StoreUnavailable(`The key-value service answered ${response.status}.`);
--- a/packages/clients/src/httpModelEngine.ts
+++ b/packages/clients/src/httpModelEngine.ts
@@ -5,7 +5,7 @@
   OutcomeUnknown,
   OrderRefused,
   StaleOrder,
-  timeLimit,
+  createTimeoutSignal,
   Unavailable,
 } from '@laburnumstream/common';
 import type {
@@ -16,7 +16,7 @@
   Token,
 } from '@laburnumstream/common';
 import { HttpClient } from './httpClient.js';
-import { linesOf } from './lines.js';
+import { splitLines } from './lines.js';
 
 const retryAfterMs = 500;
 /** Time that an engine may take to load weights, in milliseconds. */
@@ -30,14 +30,14 @@
 }
 
 /** Whether an error means that no connection came to be, so that nothing ran. */
-function neverConnected(cause: unknown): boolean {
+function isConnectFailure(cause: unknown): boolean {
   const { code } = (cause ?? {}) as { code?: string };
   return code === 'ECONNREFUSED' || cause instanceof ConnectTimeout;
 }
 
 /** The failure of a call to an endpoint. */
-export function endpointFailure(message: string, cause: unknown): Failure {
-  return neverConnected(cause)
+export function toEndpointFailure(message: string, cause: unknown): Failure {
+  return isConnectFailure(cause)
     ? new Unavailable(message, retryAfterMs, cause)
     : new OutcomeUnknown(message, cause);
 }
@@ -52,7 +52,7 @@
     /** Called when the endpoint closes or resets a connection. */
     onLoss?: () => void,
   ) {
-    this.client = new HttpClient(baseUrl, timeoutMs, endpointFailure, 256, onLoss);
+    this.client = new HttpClient(baseUrl, timeoutMs, toEndpointFailure, 256, onLoss);
   }
 
   async *generate(generation: Generation, signal: AbortSignal): AsyncIterable<Token> {
@@ -68,7 +68,7 @@
     let ended = false;
     try {
       // Hot path: one small object for each token.
-      for await (const line of linesOf(response.body)) {
+      for await (const line of splitLines(response.body)) {
         const { index, text, end } = JSON.parse(line) as EngineLine;
         if (end) ended = true;
         else yield { index: index ?? 0, text: text ?? '' };
@@ -85,7 +85,7 @@
     await this.client.send({ method: 'DELETE', path: `/generate/${id}`, signal });
   }
 
-  async load(signal?: AbortSignal): Promise<LoadReport> {
+  async getLoadReport(signal?: AbortSignal): Promise<LoadReport> {
     const { status, body } = await this.client.send({ method: 'GET', path: '/load', signal });
     if (status !== 200) throw new Unavailable(`The engine answered ${status}.`, retryAfterMs);
     return JSON.parse(body.toString()) as LoadReport;
@@ -97,7 +97,7 @@
       path: '/orders',
       body: JSON.stringify(order),
       timeoutMs: orderTimeoutMs,
-      signal: signal ?? timeLimit(orderTimeoutMs),
+      signal: signal ?? createTimeoutSignal(orderTimeoutMs),
     });
     if (status === 409) throw new StaleOrder('The engine has seen a higher fencing number.');
     if (status !== 200) {
--- a/packages/clients/src/httpPlainService.ts
+++ b/packages/clients/src/httpPlainService.ts
@@ -1,7 +1,7 @@
 import { Unavailable } from '@laburnumstream/common';
-import type { LoadReport, PlainAnswer, PlainCall, PlainService } from '@laburnumstream/common';
+import type { LoadReport, PlainResponse, PlainCall, PlainService } from '@laburnumstream/common';
 import { HttpClient } from './httpClient.js';
-import { endpointFailure } from './httpModelEngine.js';
+import { toEndpointFailure } from './httpModelEngine.js';
 
 const retryAfterMs = 500;
 
@@ -15,10 +15,10 @@
     /** Called when the endpoint closes or resets a connection. */
     onLoss?: () => void,
   ) {
-    this.client = new HttpClient(baseUrl, timeoutMs, endpointFailure, 64, onLoss);
+    this.client = new HttpClient(baseUrl, timeoutMs, toEndpointFailure, 64, onLoss);
   }
 
-  async call(call: PlainCall, signal: AbortSignal): Promise<PlainAnswer> {
+  async call(call: PlainCall, signal: AbortSignal): Promise<PlainResponse> {
     const { status, body } = await this.client.send({
       method: call.method,
       path: `/calls${call.path}`,
@@ -29,7 +29,7 @@
     return { status, body: body.toString() };
   }
 
-  async load(signal?: AbortSignal): Promise<LoadReport> {
+  async getLoadReport(signal?: AbortSignal): Promise<LoadReport> {
     const { status, body } = await this.client.send({ method: 'GET', path: '/load', signal });
     if (status !== 200) throw new Unavailable(`The service answered ${status}.`, retryAfterMs);
     return JSON.parse(body.toString()) as LoadReport;
--- a/packages/clients/src/instances.ts
+++ b/packages/clients/src/instances.ts
@@ -2,15 +2,15 @@
 import { InstanceRole, toFailure } from '@laburnumstream/common';
 
 /** Time between reads while the list has never been read, in milliseconds. */
-const firstReadMs = 200;
+const initialIntervalMs = 200;
 /** Share of the interval by which reads vary, so that a fleet does not read at once. */
-const readSpread = 0.5;
+const intervalJitter = 0.5;
 
 /**
  * A copy of the platform's lagging list, refreshed in the background. The last one read stays in
  * force while the platform is out of reach.
  */
-export class Instances {
+export class InstanceCache {
   private current: readonly Instance[] = [];
 
   constructor(
@@ -30,24 +30,24 @@
   }
 
   /** Agents beside the endpoints of a service. */
-  agentsOf(service: string): readonly Instance[] {
+  getAgents(service: string): readonly Instance[] {
     return this.agents.filter((instance) => instance.service === service);
   }
 
-  async follow(signal: AbortSignal): Promise<void> {
+  async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       try {
         this.current = await this.list.list(signal);
       } catch (error) {
         this.log.warn('The list of instances is out of reach.', { type: toFailure(error).type });
       }
-      await this.clock.sleep(this.pauseMs(), signal).catch(() => undefined);
+      await this.clock.sleep(this.nextDelayMs(), signal).catch(() => undefined);
     }
   }
 
   /** Reads are spread over time; at first they are frequent, as nothing is known yet. */
-  private pauseMs(): number {
-    if (this.entries.length === 0) return Math.min(firstReadMs, this.intervalMs);
-    return this.intervalMs * (1 - readSpread / 2 + this.random.next() * readSpread);
+  private nextDelayMs(): number {
+    if (this.entries.length === 0) return Math.min(initialIntervalMs, this.intervalMs);
+    return this.intervalMs * (1 - intervalJitter / 2 + this.random.next() * intervalJitter);
   }
 }
--- a/packages/common/src/asyncQueue.ts
+++ b/packages/common/src/asyncQueue.ts
@@ -37,7 +37,7 @@
     while (true) {
       if (this.head < this.items.length) yield this.shift();
       else if (this.ended) break;
-      else await this.arrival();
+      else await this.waitForItem();
     }
     if (this.failure) throw this.failure.error;
   }
@@ -52,7 +52,7 @@
     return item;
   }
 
-  private arrival(): Promise<void> {
+  private waitForItem(): Promise<void> {
     return new Promise((resolve) => {
       this.wake = resolve;
     });
--- a/packages/common/src/fleet.ts
+++ b/packages/common/src/fleet.ts
@@ -4,7 +4,7 @@
  */
 
 /** How a request may be repeated. */
-export const Repetition = {
+export const RouteKind = {
   /** May run more than once. */
   idempotent: 'idempotent',
   /** May run once at most. */
@@ -13,8 +13,8 @@
   stream: 'stream',
 } as const;
 
-/** One of the values of {@link Repetition}. */
-export type Repetition = (typeof Repetition)[keyof typeof Repetition];
+/** One of the values of {@link RouteKind}. */
+export type RouteKind = (typeof RouteKind)[keyof typeof RouteKind];
 
 /** A service among which a route's requests are divided. */
 export interface RouteTarget {
@@ -29,13 +29,13 @@
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  readonly repetition: Repetition;
+  readonly kind: RouteKind;
   /** Longest time until the final answer, in milliseconds. */
   readonly timeoutMs: number;
   /** Time until the answer, or a stream's first event, within which it is of full use. */
-  readonly goalMs: number;
+  readonly latencyTargetMs: number;
   /** Longest pause between events within which a stream is of full use, in milliseconds. */
-  readonly pauseGoalMs: number | undefined;
+  readonly eventGapTargetMs: number | undefined;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
@@ -55,19 +55,19 @@
   /** Tokens that fit into the memory for requests. */
   readonly memoryTokens: number;
   /** Steps that one pass runs, which is also the tokens of one event. */
-  readonly stride: number;
+  readonly stepsPerPass: number;
   readonly stepMs: number;
   /** Time that each writing request adds to a step, in milliseconds. */
   readonly stepMsPerSequence: number;
   /** Time that 1,000 tokens of context add to a step, in milliseconds. */
   readonly stepMsPerThousandTokens: number;
-  readonly readTokensPerSecond: number;
+  readonly prefillTokensPerSecond: number;
   /** Time for a million pairs of a read token and an earlier one, in milliseconds. */
-  readonly readMsPerMillionPairs: number;
+  readonly prefillMsPerMillionPairs: number;
   /** Tokens read in one step at most. */
-  readonly readChunkTokens: number;
-  readonly usualPromptTokens: number;
-  readonly usualAnswerTokens: number;
+  readonly prefillChunkTokens: number;
+  readonly typicalPromptTokens: number;
+  readonly typicalOutputTokens: number;
   readonly layers: number;
   /** Pieces of one version of the weights. */
   readonly chunks: number;
@@ -90,7 +90,7 @@
   /** Connections that one endpoint accepts from all callers together. */
   readonly maxConnections: number;
   /** Requests a second that a cold endpoint bears from all callers together; 0 when it is never cold. */
-  readonly coldPerSecond: number;
+  readonly coldRequestsPerSecond: number;
   readonly engine: EngineProfile | undefined;
   readonly origin: OriginProfile | undefined;
 }
@@ -122,11 +122,11 @@
   readonly limits: CallerLimits;
   readonly workspaces: readonly Workspace[];
   /** Whether callers need a key on routes that are not public. */
-  readonly needsKeys: boolean;
+  readonly requiresKeys: boolean;
 }
 
 /** Layers of a model that an engine holds, `to` exclusive. */
-export interface HeldLayers {
+export interface LoadedLayers {
   readonly from: number;
   readonly to: number;
   readonly version: number;
@@ -147,11 +147,11 @@
   /** Time for which it bears only little load, from the moment it said so, in milliseconds. */
   readonly coldLeftMs: number;
   /** Layers of the model that it holds; undefined for plain services and for empty engines. */
-  readonly layers: HeldLayers | undefined;
+  readonly layers: LoadedLayers | undefined;
 }
 
 /** Where an entry runs, as it registers itself. */
-export interface EntryPlace {
+export interface EntryLocation {
   readonly dataCentre: string;
   /** IP */
   readonly host: string;
--- a/packages/common/src/fleetSettings.ts
+++ b/packages/common/src/fleetSettings.ts
@@ -11,7 +11,7 @@
   /** Time after which a removed key is refused, in milliseconds. */
   readonly revocationMs: number;
   /** Whether requests with keys are refused while it is unknown if keys were removed. */
-  readonly refusesWithoutProof: boolean;
+  readonly failsClosed: boolean;
   /** Time after which an evacuated data centre gets no new request, in milliseconds. */
   readonly evacuationMs: number;
   /** Time after which no request begins on a version older than the named one, in milliseconds. */
@@ -28,14 +28,14 @@
   /** Requests a second above that which are still within the bound. */
   readonly coldSlack: number;
   /** Delay of a stream's event on its way to the caller that is still in time, in milliseconds. */
-  readonly eventDelayMs: number;
+  readonly maxEventDelayMs: number;
 }
 
 /** The store of the platform and its limits. */
 export interface StoreSettings {
   /** IP:PORT */
   readonly address: string;
-  readonly shortestLeaseMs: number;
+  readonly minLeaseMs: number;
 }
 
 /** What each process on the platform is told at its start. */
@@ -60,9 +60,9 @@
 /** Settings of a process that serves callers. */
 export interface ForwarderSettings extends FleetSettings {
   /** IP:PORT where callers connect. */
-  readonly callers: string;
+  readonly callerAddress: string;
   /** IP:PORT where the balancer asks whether the process is ready. */
-  readonly readiness: string;
+  readonly readinessAddress: string;
   /** Whether no process has run under this name before. */
   readonly isFirstStart: boolean;
 }
@@ -70,6 +70,6 @@
 /** Settings of a process beside an endpoint. */
 export interface SidecarSettings extends FleetSettings {
   /** IP:PORT of the endpoint beside it. */
-  readonly endpoint: string;
+  readonly endpointAddress: string;
   readonly service: string;
 }
--- a/packages/common/src/pauseDetector.ts
+++ b/packages/common/src/pauseDetector.ts
@@ -1,5 +1,5 @@
 /** A look at the clocks after the one before. */
-export interface Look {
+export interface PauseCheck {
   /** Whether the process stood still in between. */
   readonly paused: boolean;
   /** Monotonic time since the look before, in milliseconds. */
@@ -26,7 +26,7 @@
   }
 
   /** Looks at the clocks. */
-  look(now: number, wall: number): Look {
+  check(now: number, wall: number): PauseCheck {
     const gapMs = now - this.lastNow;
     const wallGapMs = wall - this.lastWall;
     this.lastNow = now;
--- a/packages/common/src/rendezvous.ts
+++ b/packages/common/src/rendezvous.ts
@@ -16,13 +16,13 @@
 export function rendezvousOrder<Member>(
   key: string,
   members: readonly Member[],
-  nameOf: (member: Member) => string,
+  getName: (member: Member) => string,
 ): Member[] {
   return members
     .map((member) => ({
       member,
-      name: nameOf(member),
-      weight: hash32(`${key}\n${nameOf(member)}`),
+      name: getName(member),
+      weight: hash32(`${key}\n${getName(member)}`),
     }))
     .sort((a, b) => b.weight - a.weight || (a.name < b.name ? -1 : 1))
     .map(({ member }) => member);
--- a/packages/common/src/services.ts
+++ b/packages/common/src/services.ts
@@ -43,7 +43,7 @@
   /** Records a duration in milliseconds. */
   observe(name: string, ms: number, labels?: Labels): void;
   /** Adds gauges that are read each time the metrics are. */
-  sample(read: () => readonly Gauge[]): void;
+  registerGauges(read: () => readonly Gauge[]): void;
 }
 
 /** One stored value with the revision of its last write; revisions grow over the whole store. */
@@ -199,7 +199,7 @@
   /** Streams tokens; throws `OutcomeUnknown` when the stream breaks. */
   generate(generation: Generation, signal: AbortSignal): AsyncIterable<Token>;
   cancel(id: string, signal?: AbortSignal): Promise<void>;
-  load(signal?: AbortSignal): Promise<LoadReport>;
+  getLoadReport(signal?: AbortSignal): Promise<LoadReport>;
   /** Throws `StaleOrder` when the engine refuses the fencing number. */
   order(order: EngineOrder, signal?: AbortSignal): Promise<void>;
 }
@@ -213,7 +213,7 @@
 }
 
 /** The answer of a plain service. */
-export interface PlainAnswer {
+export interface PlainResponse {
   readonly status: number;
   readonly body: string;
 }
@@ -221,8 +221,8 @@
 /** A plain service beside the model engines. */
 export interface PlainService {
   /** Throws `Unavailable` when no connection was made, else `OutcomeUnknown`. */
-  call(call: PlainCall, signal: AbortSignal): Promise<PlainAnswer>;
-  load(signal?: AbortSignal): Promise<LoadReport>;
+  call(call: PlainCall, signal: AbortSignal): Promise<PlainResponse>;
+  getLoadReport(signal?: AbortSignal): Promise<LoadReport>;
 }
 
 /** All values under a prefix, and the store's revision up to which they are complete. */
--- a/packages/decisions/src/forwarding/engineModel.ts
+++ b/packages/decisions/src/forwarding/engineModel.ts
@@ -27,7 +27,12 @@
   private readonly usualContext: number;
 
   constructor(private readonly profile: EngineProfile) {
-    const { slots, stride, usualPromptTokens, usualAnswerTokens } = profile;
+    const {
+      slots,
+      stepsPerPass: stride,
+      typicalPromptTokens: usualPromptTokens,
+      typicalOutputTokens: usualAnswerTokens,
+    } = profile;
     this.slots = slots;
     this.usualContext = usualPromptTokens + usualAnswerTokens / 2;
     const passes = Math.max(1, usualAnswerTokens / stride);
@@ -36,7 +41,8 @@
 
   /** The class of a request's size, by the work that it is compared with a usual request. */
   sizeClass(promptTokens: number, answerTokens: number): string {
-    const { usualPromptTokens, usualAnswerTokens } = this.profile;
+    const { typicalPromptTokens: usualPromptTokens, typicalOutputTokens: usualAnswerTokens } =
+      this.profile;
     const usual = this.workMs(usualPromptTokens, usualAnswerTokens);
     const factor = this.workMs(promptTokens, answerTokens) / usual;
     return sizeClasses.find(({ below }) => factor < below)!.name;
@@ -49,32 +55,40 @@
 
   /** Time of one pass with a number of requests that are writing. */
   passMs(writers: number): number {
-    const { stride, stepMs, stepMsPerSequence, stepMsPerThousandTokens } = this.profile;
+    const {
+      stepsPerPass: stride,
+      stepMs,
+      stepMsPerSequence,
+      stepMsPerThousandTokens,
+    } = this.profile;
     const contextMs = ((writers * this.usualContext) / thousand) * stepMsPerThousandTokens;
     return stride * (stepMs + writers * stepMsPerSequence + contextMs);
   }
 
   /** Time to read a prompt. */
   readMs(tokens: number): number {
-    const { readTokensPerSecond, readMsPerMillionPairs } = this.profile;
+    const {
+      prefillTokensPerSecond: readTokensPerSecond,
+      prefillMsPerMillionPairs: readMsPerMillionPairs,
+    } = this.profile;
     const pairs = (tokens * tokens) / 2;
     return (tokens / readTokensPerSecond) * secondMs + (pairs / million) * readMsPerMillionPairs;
   }
 
   /** Usual prompts that are read within a time. */
   promptsFor(ms: number): number {
-    return Math.max(1, Math.floor(ms / this.readMs(this.profile.usualPromptTokens)));
+    return Math.max(1, Math.floor(ms / this.readMs(this.profile.typicalPromptTokens)));
   }
 
   /** Time to write an answer beside a full batch whose prompts are read meanwhile. */
   answerMs(answerTokens: number): number {
-    const passes = answerTokens / this.profile.stride;
+    const passes = answerTokens / this.profile.stepsPerPass;
     return passes * this.passMs(this.slots) * readingFactor;
   }
 
   /** Work that a request is for the engine, as time of a full batch. */
   workMs(promptTokens: number, answerTokens: number): number {
-    const passes = Math.max(1, answerTokens / this.profile.stride);
+    const passes = Math.max(1, answerTokens / this.profile.stepsPerPass);
     return this.readMs(promptTokens) + (passes * this.passMs(this.slots)) / this.slots;
   }
 
--- a/packages/entry/src/callerServer.ts
+++ b/packages/entry/src/callerServer.ts
@@ -11,7 +11,7 @@
 import { ServiceKind, isIn, serviceOf } from '@laburnumstream/decisions';
 import type { Configuration, ServiceDefinition } from '@laburnumstream/decisions';
 import {
-  bearerToken,
+  getBearerToken,
   parseObject,
   readBody,
   sendFailure,
@@ -196,7 +196,7 @@
     if (configuration.revision === 0) {
       throw new Unavailable('No configuration is known yet.', retryAfterMs);
     }
-    const workspace = workspacesByHash(configuration).get(sha256(bearerToken(request)));
+    const workspace = workspacesByHash(configuration).get(sha256(getBearerToken(request)));
     if (!workspace) throw new Unauthenticated();
     return workspace;
   }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -5,10 +5,10 @@
   PauseGuard,
   SystemClock,
   listen,
-  makeProcessAbort,
+  createProcessAbort,
   readChart,
   sendFailure,
-  splitAddress,
+  parseAddress,
   systemRandom,
 } from '@laburnumstream/runtime';
 import type { EntrySettings, LoggerFactory } from '@laburnumstream/runtime';
@@ -21,7 +21,7 @@
   HttpInstanceList,
   HttpKeyValueStore,
   HttpWeightOrigin,
-  Instances,
+  InstanceCache,
 } from '@laburnumstream/clients';
 import { EntryService } from '@laburnumstream/protocol';
 import type { Member } from '@laburnumstream/protocol';
@@ -55,7 +55,7 @@
 
   private readonly metrics = new HistogramMetrics();
 
-  private readonly abort = makeProcessAbort();
+  private readonly abort = createProcessAbort();
 
   private readonly log: Log;
 
@@ -63,7 +63,7 @@
 
   private readonly links: LinkPool;
 
-  private readonly instances: Instances;
+  private readonly instances: InstanceCache;
 
   private readonly directory: Directory;
 
@@ -99,16 +99,16 @@
   ) {
     const { options, platform, instance } = settings;
     const { clock, metrics } = this;
-    this.log = logs.part('entry');
+    this.log = logs.forComponent('entry');
     this.secrets = new Secrets(settings.secrets);
     const now = (): number => clock.now();
     this.links = new LinkPool(this.secrets, options.linkAgeMs, now, this.abort.signal);
     this.directory = new Directory(clock, settings.dataCentre, options, systemRandom);
-    this.instances = new Instances(
+    this.instances = new InstanceCache(
       new HttpInstanceList(platform.instances, options.platformTimeoutMs),
       clock,
       options.instanceListMs,
-      logs.part('instances'),
+      logs.forComponent('instances'),
       systemRandom,
     );
     this.exchange = this.makeExchange();
@@ -117,10 +117,10 @@
       clock,
       options.pauseLimitMs,
       (gapMs) => this.recheck(gapMs),
-      logs.part('process'),
+      logs.forComponent('process'),
     );
     const store = new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs);
-    this.keeper = new ConfigurationKeeper(metrics, logs.part('configuration'));
+    this.keeper = new ConfigurationKeeper(metrics, logs.forComponent('configuration'));
     this.configuration = new ConfigurationService(
       this.keeper,
       {
@@ -131,7 +131,7 @@
         clock,
         random: systemRandom,
         metrics,
-        log: logs.part('configuration'),
+        log: logs.forComponent('configuration'),
       },
       this.abort.signal,
     );
@@ -142,7 +142,7 @@
       systemRandom,
       options.convictionMs,
       metrics,
-      logs.part('verdicts'),
+      logs.forComponent('verdicts'),
     );
     const router = new Router(
       settings,
@@ -168,7 +168,7 @@
       router,
       () => clock.wall(),
       metrics,
-      logs.part('requests'),
+      logs.forComponent('requests'),
     );
     this.callers = new CallerServer(
       settings,
@@ -176,7 +176,7 @@
       dispatcher,
       clock,
       metrics,
-      logs.part('callers'),
+      logs.forComponent('callers'),
     );
     const editor = new ConfigurationEditor(store, this.keeper, clock, options.changeTimeoutMs);
     this.rollOutGuard = new RollOutGuard(
@@ -185,7 +185,7 @@
       editor,
       instance,
       clock,
-      logs.part('roll-outs'),
+      logs.forComponent('roll-outs'),
     );
     const handlers = new OperatorHandlers(
       instance,
@@ -202,7 +202,7 @@
       [...handlers.routes(), ...convictionRoutes(this.guard)],
       metrics,
       clock,
-      logs.part('operators'),
+      logs.forComponent('operators'),
     );
   }
 
@@ -212,10 +212,10 @@
     const { signal } = abort;
     const { listen: addresses } = settings;
     const { secrets } = this;
-    const { host, port } = splitAddress(addresses.internal);
+    const { host, port } = parseAddress(addresses.internal);
     const routes = (router: ConnectRouter): void => this.internalRoutes(router);
     this.internal = await serveInternal({ host, port, secrets }, routes, this.metrics, signal);
-    void this.instances.follow(signal);
+    void this.instances.run(signal);
     void this.configuration.spreader.run(signal);
     void this.exchange.run(signal);
     void this.prober.run(signal);
@@ -234,7 +234,7 @@
       signal,
     );
     const process = readChart('process');
-    this.lifecycle = new Lifecycle(process, {}, this.logs.part('process'), signal);
+    this.lifecycle = new Lifecycle(process, {}, this.logs.forComponent('process'), signal);
     this.lifecycle.send('READY');
     this.log.info('Entry started.', { callers: addresses.callers });
   }
@@ -277,7 +277,7 @@
       links,
       clock,
       options.exchangeMs,
-      this.logs.part('members'),
+      this.logs.forComponent('members'),
     );
   }
 
@@ -286,7 +286,7 @@
    * a new one hears of the members before it is ready.
    */
   private async serveCaller(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (!this.pauseGuard.isSettled()) await this.pauseGuard.settled();
+    if (!this.pauseGuard.isSettled()) await this.pauseGuard.waitUntilSettled();
     if (!this.isInformed()) {
       if (request.url === '/ready') {
         sendFailure(response, new Unavailable('The members are not known yet.', informPollMs));
--- a/packages/entry/src/operatorAuthentication.ts
+++ b/packages/entry/src/operatorAuthentication.ts
@@ -2,7 +2,7 @@
 import { Unauthenticated } from '@laburnumstream/common';
 import { OperatorRole, hasUnlimitedOperator } from '@laburnumstream/decisions';
 import type { Configuration, Operator } from '@laburnumstream/decisions';
-import { bearerToken, sameSecret, sha256 } from '@laburnumstream/runtime';
+import { getBearerToken, isSameSecret, sha256 } from '@laburnumstream/runtime';
 
 const bootstrapPrefix = 'bootstrap/';
 
@@ -31,12 +31,12 @@
   configuration: Configuration,
   bootstrap: Readonly<Record<string, string>>,
 ): KnownOperator {
-  const hash = sha256(bearerToken(request));
+  const hash = sha256(getBearerToken(request));
   const known = Object.entries(configuration.operators).find(([, { tokenHashes }]) =>
-    tokenHashes.some((tokenHash) => sameSecret(tokenHash, hash)),
+    tokenHashes.some((tokenHash) => isSameSecret(tokenHash, hash)),
   );
   if (known) return { name: known[0], operator: known[1] };
-  const first = Object.entries(bootstrap).find(([, tokenHash]) => sameSecret(tokenHash, hash));
+  const first = Object.entries(bootstrap).find(([, tokenHash]) => isSameSecret(tokenHash, hash));
   if (!first || hasUnlimitedOperator(configuration)) throw new Unauthenticated();
   const name = `${bootstrapPrefix}${first[0]}`;
   return { name, operator: operatorIn(configuration, name) };
--- a/packages/entry/src/partialAnswer.ts
+++ b/packages/entry/src/partialAnswer.ts
@@ -1,5 +1,5 @@
 import { Corrupted } from '@laburnumstream/common';
-import type { PlainAnswer } from '@laburnumstream/common';
+import type { PlainResponse } from '@laburnumstream/common';
 import { AnswerAssembly, callDigest } from '@laburnumstream/decisions';
 import type { End } from '@laburnumstream/protocol';
 import { sha256 } from '@laburnumstream/runtime';
@@ -11,7 +11,7 @@
 
   private weightsDigest = '';
 
-  private call: PlainAnswer | undefined;
+  private call: PlainResponse | undefined;
 
   /** Digest of the weights that gave the tokens so far; empty before the first token. */
   get weights(): string {
@@ -24,7 +24,7 @@
   }
 
   /** A plain service's answer has come. */
-  take(call: PlainAnswer): void {
+  take(call: PlainResponse): void {
     this.call = call;
   }
 
--- a/packages/forwarding/src/attempts.ts
+++ b/packages/forwarding/src/attempts.ts
@@ -181,11 +181,12 @@
   private goalAt(): number {
     const { route, arrivedAt } = this.exchange;
     const { resumedAt } = this;
-    const firstGoalAt = arrivedAt + route.goalMs;
+    const firstGoalAt = arrivedAt + route.latencyTargetMs;
     if (resumedAt === undefined) return firstGoalAt;
     return Math.max(
       firstGoalAt,
-      resumedAt + (this.isMoving ? movePatienceMs : (route.pauseGoalMs ?? route.goalMs)),
+      resumedAt +
+        (this.isMoving ? movePatienceMs : (route.eventGapTargetMs ?? route.latencyTargetMs)),
     );
   }
 
--- a/packages/forwarding/src/callerServer.ts
+++ b/packages/forwarding/src/callerServer.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { NotFound, Repetition, TooLarge, Unauthenticated, toFailure } from '@laburnumstream/common';
+import { NotFound, RouteKind, TooLarge, Unauthenticated, toFailure } from '@laburnumstream/common';
 import type {
   Clock,
   Failure,
@@ -73,7 +73,7 @@
   constructor(
     private readonly state: FleetState,
     private readonly checks: ConfigurationChecks,
-    private readonly forwardings: Readonly<Record<Repetition, Forwarding>>,
+    private readonly forwardings: Readonly<Record<RouteKind, Forwarding>>,
     private readonly codec: HeaderCodec,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -162,7 +162,7 @@
         deadlineAt,
         signal,
       };
-      await this.forwardings[route.repetition].serve(exchange);
+      await this.forwardings[route.kind].serve(exchange);
       this.counts.forwarded(exchange);
     } catch (error) {
       this.fail(request, response, head, route, owner.signal, error);
@@ -182,7 +182,7 @@
 
   /** The holder of the request's key; undefined where none is needed. */
   private admit(routes: RouteTable, route: Route, head: RequestHead): Workspace | undefined {
-    if (route.isPublic || !routes.configuration.needsKeys) return undefined;
+    if (route.isPublic || !routes.configuration.requiresKeys) return undefined;
     // A key that is known here may have been taken away, and an unknown one may have been added.
     if (!this.checks.mayHonour()) {
       const ageMs = Math.round(this.checks.ageMs());
@@ -226,7 +226,7 @@
       execution,
       path: request.url,
       route: route?.name ?? null,
-      isRepeatable: route === undefined || route.repetition !== Repetition.nonIdempotent,
+      isRepeatable: route === undefined || route.kind !== RouteKind.nonIdempotent,
       configuration: this.state.routes?.configuration.version ?? null,
       proofAgeMs: Math.round(this.checks.ageMs()),
       retryAfterMs: retryAfterMs === undefined ? null : Math.round(retryAfterMs),
--- a/packages/forwarding/src/endpointConnection.ts
+++ b/packages/forwarding/src/endpointConnection.ts
@@ -1,5 +1,5 @@
 import type { Socket } from 'node:net';
-import { connectorWith } from '@laburnumstream/runtime';
+import { createConnector } from '@laburnumstream/runtime';
 import { Client } from 'undici';
 import type { Dispatcher } from 'undici';
 
@@ -35,7 +35,7 @@
       keepAliveTimeout: idleMs,
       keepAliveTimeoutThreshold: idleMarginMs,
       strictContentLength: true,
-      connect: connectorWith(connectTimeoutMs, (socket) => {
+      connect: createConnector(connectTimeoutMs, (socket) => {
         this.socket = socket;
         socket.once('connect', onConnect);
       }),
--- a/packages/forwarding/src/endpointDirectory.ts
+++ b/packages/forwarding/src/endpointDirectory.ts
@@ -244,12 +244,12 @@
     if (!pool.hasRoom(most)) return false;
     if (handle.model && !handle.load.hasRoom({ ...roomLimits, slots: handle.slots }, now))
       return false;
-    if (now >= coldUntil || !profile || profile.coldPerSecond <= 0) return true;
+    if (now >= coldUntil || !profile || profile.coldRequestsPerSecond <= 0) return true;
     return coldRate.fits(this.coldShare(handle), now);
   }
 
   /** Requests a second that this entry may send to an endpoint while it is cold. */
   private coldShare({ profile }: EndpointHandle): number {
-    return (profile?.coldPerSecond ?? 0) / this.sharing.forColdEndpoints;
+    return (profile?.coldRequestsPerSecond ?? 0) / this.sharing.forColdEndpoints;
   }
 }
--- a/packages/forwarding/src/fleetChange.ts
+++ b/packages/forwarding/src/fleetChange.ts
@@ -1,6 +1,6 @@
 import type {
   Endpoint,
-  EntryPlace,
+  EntryLocation,
   FleetConfiguration,
   NamedVersion,
   StoreChange,
@@ -13,7 +13,7 @@
   | { readonly kind: 'evacuation'; readonly dataCentre: string; readonly isActive: boolean }
   | { readonly kind: 'version'; readonly named: NamedVersion }
   /** Without a place when the entry is gone. */
-  | { readonly kind: 'entry'; readonly name: string; readonly place: EntryPlace | undefined };
+  | { readonly kind: 'entry'; readonly name: string; readonly place: EntryLocation | undefined };
 
 /** Decodes what lies in the store. */
 export interface FleetCodec {
@@ -22,7 +22,7 @@
   /** The key under which an entry registers itself. */
   entryKey(name: string): string;
   /** What an entry registers of itself. */
-  encodeEntry(place: EntryPlace): string;
+  encodeEntry(place: EntryLocation): string;
   /** Undefined for what does not concern entries; throws `InvalidInput` for what cannot be read. */
   decode(change: StoreChange): FleetChange | undefined;
 }
--- a/packages/forwarding/src/fleetState.ts
+++ b/packages/forwarding/src/fleetState.ts
@@ -1,4 +1,4 @@
-import type { Endpoint, EntryPlace, Log, Metrics } from '@laburnumstream/common';
+import type { Endpoint, EntryLocation, Log, Metrics } from '@laburnumstream/common';
 import { NamedVersions, RouteTable } from '@laburnumstream/decisions';
 import type { FleetChange } from './fleetChange.js';
 
@@ -35,7 +35,7 @@
   private readonly versions = new Map<string, NamedVersions>();
 
   /** Places of the registered entries by their names. */
-  private readonly entryPlaces = new Map<string, EntryPlace>();
+  private readonly entryPlaces = new Map<string, EntryLocation>();
 
   /** Number of the registered entries of each data centre. */
   private readonly entryCounts = new Map<string, number>();
@@ -67,7 +67,7 @@
   }
 
   /** Places of the registered entries by their names. */
-  get places(): ReadonlyMap<string, EntryPlace> {
+  get places(): ReadonlyMap<string, EntryLocation> {
     return this.entryPlaces;
   }
 
@@ -188,7 +188,7 @@
     this.changed();
   }
 
-  takeEntry(name: string, place: EntryPlace | undefined): void {
+  takeEntry(name: string, place: EntryLocation | undefined): void {
     const known = this.entryPlaces.get(name);
     if (known) this.countEntry(known.dataCentre, -1);
     if (place) this.countEntry(place.dataCentre, 1);
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -1,4 +1,4 @@
-import { Repetition, SleepAwareClock } from '@laburnumstream/common';
+import { RouteKind, SleepAwareClock } from '@laburnumstream/common';
 import type {
   Clock,
   ForwarderSettings,
@@ -113,7 +113,7 @@
       store,
       fleetCodec.entryKey(settings.instance),
       fleetCodec.encodeEntry(settings),
-      Math.max(leaseMs, settings.store.shortestLeaseMs),
+      Math.max(leaseMs, settings.store.minLeaseMs),
       clock,
       metrics,
       log('registration'),
@@ -134,12 +134,12 @@
       log: log('requests'),
     };
     const forwardings = {
-      [Repetition.idempotent]: new WholeAnswers(services, true),
-      [Repetition.nonIdempotent]: new WholeAnswers(services, false),
-      [Repetition.stream]: new EventStreams(services),
+      [RouteKind.idempotent]: new WholeAnswers(services, true),
+      [RouteKind.nonIdempotent]: new WholeAnswers(services, false),
+      [RouteKind.stream]: new EventStreams(services),
     };
     const checks = {
-      mayHonour: () => !bounds.refusesWithoutProof || proof.mayHonour(proofClock.now()),
+      mayHonour: () => !bounds.failsClosed || proof.mayHonour(proofClock.now()),
       mayDeny: () => proof.mayDeny(proofClock.now()),
       ageMs: () => proof.ageMs(proofClock.now()),
     };
@@ -156,12 +156,12 @@
     const { state, directory, line, callers } = this;
     const { budget } = services;
     const parts = { state, directory, line, callers, budget, checks, clock };
-    metrics.sample(() => entryGauges(parts));
+    metrics.registerGauges(() => entryGauges(parts));
   }
 
   /** Starts serving; resolves when all servers listen. */
   async start(signal: AbortSignal): Promise<void> {
-    const { callers, readiness } = this.ports.settings;
+    const { callerAddress: callers, readinessAddress: readiness } = this.ports.settings;
     const ready = addressOf(readiness);
     void this.feed.run(signal);
     void this.sidecars.run(signal);
--- a/packages/forwarding/src/streamRun.ts
+++ b/packages/forwarding/src/streamRun.ts
@@ -146,7 +146,7 @@
       sends: this.attempts.sends,
       firstEventMs: Math.round(firstEventMs),
       longestPauseMs: Math.round(longestPauseMs),
-      goalMs: route.goalMs,
+      goalMs: route.latencyTargetMs,
       lastEventId: lastEventId ?? null,
     });
   }
--- a/packages/runtime/src/connector.ts
+++ b/packages/runtime/src/connector.ts
@@ -27,9 +27,9 @@
  * end of an answer. A connection that is not established within `timeoutMs` fails with
  * `ConnectTimeout`.
  */
-export function connectorWith(
+export function createConnector(
   timeoutMs = defaultTimeoutMs,
-  onOpening: (socket: Socket) => void = () => undefined,
+  onConnecting: (socket: Socket) => void = () => undefined,
 ): Connector {
   return ({ protocol, hostname, port }, callback) => {
     if (protocol !== 'http:') {
@@ -50,7 +50,7 @@
       clearTimeout(timer);
       callback(null, socket);
     });
-    onOpening(socket);
+    onConnecting(socket);
     socket.connect(Number(port) || defaultPort, hostname);
   };
 }
--- a/packages/runtime/src/digest.ts
+++ b/packages/runtime/src/digest.ts
@@ -6,6 +6,6 @@
 }
 
 /** Compares two texts in a time that does not depend on their content. */
-export function sameSecret(a: string, b: string): boolean {
+export function isSameSecret(a: string, b: string): boolean {
   return timingSafeEqual(Buffer.from(sha256(a)), Buffer.from(sha256(b)));
 }
--- a/packages/runtime/src/histogramMetrics.ts
+++ b/packages/runtime/src/histogramMetrics.ts
@@ -1,14 +1,14 @@
 import type { Gauge, Labels, Metrics } from '@laburnumstream/common';
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
-import { MetricFamily, labelText } from './metricFamily.js';
+import { MetricFamily, formatLabels } from './metricFamily.js';
 
 const microsecondsPerMs = 1_000;
 const percentiles = [50, 95, 99] as const;
 
 type Families<Value> = Map<string, MetricFamily<Value>>;
 
-function familyOf<Value>(
+function getOrCreateFamily<Value>(
   families: Families<Value>,
   name: string,
   create: () => Value,
@@ -24,31 +24,31 @@
 const zero = (): number => 0;
 const emptyHistogram = (): Histogram => build({ numberOfSignificantValueDigits: 2 });
 
-function numberText(value: number): string {
+function formatNumber(value: number): string {
   if (Number.isFinite(value)) return String(value);
   return value > 0 ? '+Inf' : '-Inf';
 }
 
-function valueLines(name: string, type: string, family: MetricFamily<number>): string[] {
+function renderValues(name: string, type: string, family: MetricFamily<number>): string[] {
   const lines = [`# TYPE ${name} ${type}`];
-  for (const { labels, value } of family.all) {
-    lines.push(`${name}${labelText(labels)} ${numberText(value)}`);
+  for (const { labels, value } of family.allSeries) {
+    lines.push(`${name}${formatLabels(labels)} ${formatNumber(value)}`);
   }
   return lines;
 }
 
-function summaryLines(name: string, family: MetricFamily<Histogram>): string[] {
+function renderSummary(name: string, family: MetricFamily<Histogram>): string[] {
   const lines = [`# TYPE ${name} summary`];
-  for (const { labels, value: histogram } of family.all) {
+  for (const { labels, value: histogram } of family.allSeries) {
     percentiles.forEach((percentile) => {
       const ms = histogram.getValueAtPercentile(percentile) / microsecondsPerMs;
-      const text = labelText({ ...labels, quantile: String(percentile / 100) });
+      const text = formatLabels({ ...labels, quantile: String(percentile / 100) });
       lines.push(`${name}${text} ${ms}`);
     });
     const count = histogram.totalCount;
     const sumMs = count === 0 ? 0 : (histogram.mean * count) / microsecondsPerMs;
-    lines.push(`${name}_sum${labelText(labels)} ${sumMs}`);
-    lines.push(`${name}_count${labelText(labels)} ${count}`);
+    lines.push(`${name}_sum${formatLabels(labels)} ${sumMs}`);
+    lines.push(`${name}_count${formatLabels(labels)} ${count}`);
   }
   return lines;
 }
@@ -61,45 +61,47 @@
 
   private readonly histograms: Families<Histogram> = new Map();
 
-  private readonly readers: (() => readonly Gauge[])[] = [];
+  private readonly gaugeReaders: (() => readonly Gauge[])[] = [];
 
   count(name: string, labels?: Labels): void {
-    familyOf(this.counters, name, zero).of(labels).value += 1;
+    getOrCreateFamily(this.counters, name, zero).getSeries(labels).value += 1;
   }
 
   gauge(name: string, value: number): void {
-    familyOf(this.gauges, name, zero).of().value = value;
+    getOrCreateFamily(this.gauges, name, zero).getSeries().value = value;
   }
 
   observe(name: string, ms: number, labels?: Labels): void {
-    const { value: histogram } = familyOf(this.histograms, name, emptyHistogram).of(labels);
+    const { value: histogram } = getOrCreateFamily(this.histograms, name, emptyHistogram).getSeries(
+      labels,
+    );
     histogram.recordValue(Math.max(0, Math.round(ms * microsecondsPerMs)));
   }
 
-  sample(read: () => readonly Gauge[]): void {
-    this.readers.push(read);
+  registerGauges(read: () => readonly Gauge[]): void {
+    this.gaugeReaders.push(read);
   }
 
   /** The Prometheus text format: the type of each metric, and one line for each value. */
   render(): string {
     const lines: string[] = [];
     this.counters.forEach((family, name) =>
-      lines.push(...valueLines(`${name}_total`, 'counter', family)),
+      lines.push(...renderValues(`${name}_total`, 'counter', family)),
     );
     [this.gauges, this.readGauges()].forEach((gauges) =>
-      gauges.forEach((family, name) => lines.push(...valueLines(name, 'gauge', family))),
+      gauges.forEach((family, name) => lines.push(...renderValues(name, 'gauge', family))),
     );
-    this.histograms.forEach((family, name) => lines.push(...summaryLines(`${name}_ms`, family)));
+    this.histograms.forEach((family, name) => lines.push(...renderSummary(`${name}_ms`, family)));
     return `${lines.join('\n')}\n`;
   }
 
   /** The gauges that are read now; those whose labels are the same are added. */
   private readGauges(): Families<number> {
     const gauges: Families<number> = new Map();
-    this.readers
+    this.gaugeReaders
       .flatMap((read) => read())
       .forEach(({ name, value, labels }) => {
-        familyOf(gauges, name, zero).of(labels).value += value;
+        getOrCreateFamily(gauges, name, zero).getSeries(labels).value += value;
       });
     return gauges;
   }
--- a/packages/runtime/src/httpServer.ts
+++ b/packages/runtime/src/httpServer.ts
@@ -4,7 +4,7 @@
 import type { Failure } from '@laburnumstream/common';
 
 /** Splits an IP:PORT address from settings. */
-export function splitAddress(address: string): { host: string; port: number } {
+export function parseAddress(address: string): { host: string; port: number } {
   const [host = '', port = '0'] = address.split(':');
   return { host, port: Number(port) };
 }
@@ -15,7 +15,7 @@
   listener: RequestListener,
   signal: AbortSignal,
 ): Promise<Server> {
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseAddress(address);
   const server = createServer({ keepAlive: true }, listener);
   signal.addEventListener('abort', () => {
     server.close();
@@ -86,7 +86,7 @@
 }
 
 /** The bearer token of a request, or an empty text. */
-export function bearerToken(request: IncomingMessage): string {
+export function getBearerToken(request: IncomingMessage): string {
   const header = request.headers.authorization ?? '';
   return header.startsWith('Bearer ') ? header.slice('Bearer '.length) : '';
 }
--- a/packages/runtime/src/lifecycle.ts
+++ b/packages/runtime/src/lifecycle.ts
@@ -10,7 +10,7 @@
   Record<string, (signal: AbortSignal) => Promise<Event | undefined> | undefined>
 >;
 
-let spawned = 0;
+let actorCount = 0;
 
 /**
  * An actor that walks through a state chart. Each state's handler runs with a signal that fires when
@@ -30,9 +30,9 @@
     private readonly signal: AbortSignal,
   ) {
     this.current = chart.initial;
-    spawned += 1;
-    const receive = (state: string, event: Event): string => this.step(state, event);
-    const name = `${chart.name}-${spawned}`;
+    actorCount += 1;
+    const receive = (state: string, event: Event): string => this.handleEvent(state, event);
+    const name = `${chart.name}-${actorCount}`;
     this.actor = spawn(system, receive, name, { initialState: chart.initial });
     signal.addEventListener('abort', () => this.end(), { once: true });
     this.enter(chart.initial);
@@ -48,7 +48,7 @@
     if (!this.signal.aborted) dispatch(this.actor, event);
   }
 
-  private step(state: string, event: Event): string {
+  private handleEvent(state: string, event: Event): string {
     if (!this.chart.accepts(state, event)) {
       this.log.debug('Event not accepted.', { state, event });
       return state;
@@ -64,10 +64,10 @@
   private enter(state: string): void {
     this.stateAbort = new AbortController();
     const { signal } = this.stateAbort;
-    void this.run(state, signal);
+    void this.runHandler(state, signal);
   }
 
-  private async run(state: string, signal: AbortSignal): Promise<void> {
+  private async runHandler(state: string, signal: AbortSignal): Promise<void> {
     try {
       const event = await this.handlers[state]?.(signal);
       if (event && !signal.aborted) this.send(event);
--- a/packages/runtime/src/lineBudget.ts
+++ b/packages/runtime/src/lineBudget.ts
@@ -1,32 +1,32 @@
 /** Lines of one kind that may be written in a second. */
-const linesPerSecond = 100;
+const maxLinesPerSecond = 100;
 const secondMs = 1_000;
 
 /** Lines of one kind in the present second. */
-interface Kind {
+interface KindState {
   second: number;
   written: number;
-  leftOut: number;
+  suppressed: number;
 }
 
 /** How many lines of a kind were left out in a second. */
-export interface LeftOut {
+export interface SuppressedLines {
   readonly kind: string;
   readonly lines: number;
 }
 
 /** Bounds the lines of each kind in a second, and counts those that are left out. */
-export class LineBudget {
-  private readonly kinds = new Map<string, Kind>();
+export class LogRateLimiter {
+  private readonly kinds = new Map<string, KindState>();
 
-  constructor(private readonly limit = linesPerSecond) {}
+  constructor(private readonly limit = maxLinesPerSecond) {}
 
   /** Whether a line of a kind may be written at `now`, in monotonic milliseconds. */
-  takes(kind: string, now: number): boolean {
+  tryAcquire(kind: string, now: number): boolean {
     const second = Math.floor(now / secondMs);
     let state = this.kinds.get(kind);
     if (!state) {
-      state = { second, written: 0, leftOut: 0 };
+      state = { second, written: 0, suppressed: 0 };
       this.kinds.set(kind, state);
     }
     if (state.second !== second) {
@@ -34,7 +34,7 @@
       state.written = 0;
     }
     if (state.written >= this.limit) {
-      state.leftOut += 1;
+      state.suppressed += 1;
       return false;
     }
     state.written += 1;
@@ -42,11 +42,11 @@
   }
 
   /** The kinds of which lines were left out since the last call. */
-  takeLeftOut(): LeftOut[] {
-    const found: LeftOut[] = [];
+  takeSuppressed(): SuppressedLines[] {
+    const found: SuppressedLines[] = [];
     this.kinds.forEach((state, kind) => {
-      if (state.leftOut > 0) found.push({ kind, lines: state.leftOut });
-      Object.assign(state, { leftOut: 0 });
+      if (state.suppressed > 0) found.push({ kind, lines: state.suppressed });
+      Object.assign(state, { suppressed: 0 });
     });
     return found;
   }
--- a/packages/runtime/src/lineOutput.ts
+++ b/packages/runtime/src/lineOutput.ts
@@ -2,7 +2,7 @@
 import type { Metrics } from '@laburnumstream/common';
 
 /** Bytes that may wait for a slow reader. */
-const mostWaitingBytes = 1_048_576;
+const maxBufferedBytes = 1_048_576;
 
 /** The part of a stream that lines are written to. */
 export interface LineSink {
@@ -12,7 +12,7 @@
 }
 
 /** Writes lines without ever waiting for their reader: lines beyond what may wait are lost. */
-export class LineOutput extends Writable {
+export class LossyLineStream extends Writable {
   constructor(
     private readonly sink: LineSink,
     private readonly metrics: Metrics,
@@ -25,7 +25,7 @@
     _encoding: BufferEncoding,
     done: (error?: Error | null) => void,
   ): void {
-    if (this.sink.writableLength > mostWaitingBytes) this.metrics.count('log_lines_lost');
+    if (this.sink.writableLength > maxBufferedBytes) this.metrics.count('log_lines_lost');
     else this.sink.write(line);
     done();
   }
--- a/packages/runtime/src/logger.ts
+++ b/packages/runtime/src/logger.ts
@@ -1,11 +1,11 @@
 import type { Log, Metrics } from '@laburnumstream/common';
 import { createLogger, format, transports } from 'winston';
-import { LineBudget } from './lineBudget.js';
-import { LineOutput } from './lineOutput.js';
+import { LogRateLimiter } from './lineBudget.js';
+import { LossyLineStream } from './lineOutput.js';
 import type { LineSink } from './lineOutput.js';
 
 /** Time between two reports on lines that were left out, in milliseconds. */
-const reportMs = 1_000;
+const reportIntervalMs = 1_000;
 
 type Fields = Readonly<Record<string, unknown>>;
 
@@ -14,7 +14,7 @@
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
-  sample: () => undefined,
+  registerGauges: () => undefined,
 };
 
 /**
@@ -24,7 +24,7 @@
 export class LoggerFactory {
   private readonly logger;
 
-  private readonly budget = new LineBudget();
+  private readonly rateLimiter = new LogRateLimiter();
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -34,7 +34,7 @@
     private readonly metrics: Metrics = noMetrics,
     sink: LineSink = process.stdout,
   ) {
-    const stream = new LineOutput(sink, metrics);
+    const stream = new LossyLineStream(sink, metrics);
     this.logger = createLogger({
       level,
       format: format.combine(format.timestamp(), format.json()),
@@ -43,7 +43,7 @@
   }
 
   /** A logger whose messages start with the part's name. */
-  part(part: string): Log {
+  forComponent(part: string): Log {
     const write =
       (level: string) =>
       (message: string, fields: Fields = {}): void => {
@@ -59,9 +59,9 @@
 
   private write(level: string, message: string, fields: Fields): void {
     const mustStay = fields.isRepeatable === false;
-    if (!mustStay && !this.budget.takes(message, performance.now())) {
+    if (!mustStay && !this.rateLimiter.tryAcquire(message, performance.now())) {
       this.metrics.count('log_lines_left_out', { kind: message });
-      this.reportSoon();
+      this.scheduleReport();
       return;
     }
     this.metrics.count('log_lines', { level });
@@ -69,12 +69,12 @@
   }
 
   /** Writes one line for all kinds of which lines were left out. */
-  private reportSoon(): void {
+  private scheduleReport(): void {
     this.timer ??= setTimeout(() => {
       this.timer = undefined;
-      const kinds = this.budget.takeLeftOut();
+      const kinds = this.rateLimiter.takeSuppressed();
       const { instance } = this;
       this.logger.log({ level: 'warn', message: 'log: Lines left out.', instance, kinds });
-    }, reportMs).unref();
+    }, reportIntervalMs).unref();
   }
 }
--- a/packages/runtime/src/pauseGuard.ts
+++ b/packages/runtime/src/pauseGuard.ts
@@ -1,7 +1,7 @@
 import { PauseDetector, toFailure } from '@laburnumstream/common';
 import type { Clock, Log } from '@laburnumstream/common';
 
-const lookMs = 250;
+const checkIntervalMs = 250;
 
 /** Checks again what the process knew after it stood still; returns when that is done. */
 export type Recheck = (gapMs: number) => Promise<void>;
@@ -23,13 +23,13 @@
 
   /** Whether the process may act on what it knows. Looks at the clocks: cheap enough for each request. */
   isSettled(): boolean {
-    const { paused, gapMs } = this.detector.look(this.clock.now(), this.clock.wall());
+    const { paused, gapMs } = this.detector.check(this.clock.now(), this.clock.wall());
     if (paused) this.startCheck(gapMs);
     return this.checking === undefined;
   }
 
   /** Resolves when the process may act on what it knows. */
-  async settled(): Promise<void> {
+  async waitUntilSettled(): Promise<void> {
     if (!this.isSettled()) await this.checking;
   }
 
@@ -37,7 +37,7 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.isSettled();
-      await this.clock.sleep(lookMs, signal).catch(() => undefined);
+      await this.clock.sleep(checkIntervalMs, signal).catch(() => undefined);
     }
   }
 
--- a/packages/runtime/src/resetAwareSocket.ts
+++ b/packages/runtime/src/resetAwareSocket.ts
@@ -4,12 +4,12 @@
 /** Bytes that may stand before a request and mean nothing. */
 const probe = '\r\n';
 /** Time in which a peer that has ended its side takes what is under way to it, in milliseconds. */
-const probeMs = 500;
+const probeTimeoutMs = 500;
 
 /** Errors by which the system tells of a reset when it is read or written. */
 const resetCodes = new Set(['ECONNRESET', 'EPIPE']);
 
-function codeOf(error: Error | undefined): string {
+function getErrorCode(error: Error | undefined): string {
   return (error as { code?: string } | undefined)?.code ?? '';
 }
 
@@ -22,7 +22,7 @@
  */
 export class ResetAwareSocket extends Socket {
   /** Whether the peer has closed its side and the reader does not know yet. */
-  private isEndHeld = false;
+  private isEndPending = false;
 
   constructor() {
     // The connection must still accept bytes when the peer has ended its side.
@@ -31,32 +31,32 @@
 
   override push(chunk: unknown, encoding?: BufferEncoding): boolean {
     if (chunk !== null) return super.push(chunk, encoding);
-    const timer = setTimeout(() => this.destroy(new ConnectionReset()), probeMs);
+    const timer = setTimeout(() => this.destroy(new ConnectionReset()), probeTimeoutMs);
     this.write(probe, (error) => {
       clearTimeout(timer);
       // On an error the stream destroys itself.
-      if (!error) this.holdEnd();
+      if (!error) this.scheduleEnd();
     });
     return false;
   }
 
   override read(size?: number): unknown {
-    if (this.isEndHeld && this.readableLength === 0) this.tellEnd();
+    if (this.isEndPending && this.readableLength === 0) this.emitEnd();
     return super.read(size);
   }
 
   override destroy(error?: Error): this {
-    return super.destroy(resetCodes.has(codeOf(error)) ? new ConnectionReset(error) : error);
+    return super.destroy(resetCodes.has(getErrorCode(error)) ? new ConnectionReset(error) : error);
   }
 
-  private holdEnd(): void {
-    this.isEndHeld = true;
-    if (this.readableFlowing) this.tellEnd();
+  private scheduleEnd(): void {
+    this.isEndPending = true;
+    if (this.readableFlowing) this.emitEnd();
     else this.emit('readable');
   }
 
-  private tellEnd(): void {
-    this.isEndHeld = false;
+  private emitEnd(): void {
+    this.isEndPending = false;
     super.push(null);
   }
 }
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -69,11 +69,11 @@
 /** Checked settings of an agent process. */
 export type AgentSettings = z.infer<typeof agentSettings>;
 
-function lineOf(text: string, offset: number): number {
+function getLineNumber(text: string, offset: number): number {
   return text.slice(0, offset).split('\n').length;
 }
 
-function describe(file: string, text: string, issue: z.core.$ZodIssue): string {
+function formatIssue(file: string, text: string, issue: z.core.$ZodIssue): string {
   const tree = parseTree(text);
   const path = issue.path.map((part) => (typeof part === 'symbol' ? String(part) : part));
   let known = path;
@@ -83,7 +83,7 @@
     node = tree && findNodeAtLocation(tree, known);
   }
   const key = path.join('.') || '(whole file)';
-  return `${file}:${lineOf(text, node?.offset ?? 0)}: ${key}: ${issue.message}`;
+  return `${file}:${getLineNumber(text, node?.offset ?? 0)}: ${key}: ${issue.message}`;
 }
 
 function parseJson(file: string, text: string): unknown {
@@ -92,7 +92,9 @@
   const [first] = errors;
   if (!first) return value;
   const code = printParseErrorCode(first.error);
-  throw new InvalidSettings(`${file}:${lineOf(text, first.offset)}: not valid JSON: ${code}`);
+  throw new InvalidSettings(
+    `${file}:${getLineNumber(text, first.offset)}: not valid JSON: ${code}`,
+  );
 }
 
 /**
@@ -106,7 +108,7 @@
 ): z.infer<(typeof schemas)[Role]> {
   const result = schemas[role].safeParse(parseJson(file, text));
   if (result.success) return result.data as z.infer<(typeof schemas)[Role]>;
-  const lines = result.error.issues.map((issue) => describe(file, text, issue));
+  const lines = result.error.issues.map((issue) => formatIssue(file, text, issue));
   throw new InvalidSettings(lines.join('\n'));
 }
 
@@ -120,7 +122,7 @@
 }
 
 /** The role that a settings file names; throws `InvalidSettings`. */
-export function roleOf(file: string, text: string): keyof typeof schemas {
+export function parseRole(file: string, text: string): keyof typeof schemas {
   const value = parseJson(file, text) as { role?: unknown } | undefined;
   if (value?.role === 'entry' || value?.role === 'agent') return value.role;
   throw new InvalidSettings(`${file}:1: role: expected "entry" or "agent"`);
--- a/packages/sidecar/src/engineWatch.ts
+++ b/packages/sidecar/src/engineWatch.ts
@@ -1,4 +1,4 @@
-import { timeLimit, toFailure } from '@laburnumstream/common';
+import { createTimeoutSignal, toFailure } from '@laburnumstream/common';
 import type { Clock, Log, Metrics } from '@laburnumstream/common';
 import type { EngineState, LocalEngine } from './localEngine.js';
 
@@ -43,7 +43,7 @@
   /** Asks once, outside the usual turn. */
   async ask(signal: AbortSignal): Promise<void> {
     try {
-      const limit = timeLimit(answerTimeoutMs, signal);
+      const limit = createTimeoutSignal(answerTimeoutMs, signal);
       const state = await this.engine.state(limit);
       if (this.last && state.bornAt !== this.last.bornAt) {
         this.log.info('The engine has restarted.', { bornAt: state.bornAt });
--- a/packages/sidecar/src/peerClient.ts
+++ b/packages/sidecar/src/peerClient.ts
@@ -1,5 +1,5 @@
 import { InvalidInput, NotFound, Unavailable } from '@laburnumstream/common';
-import { connectorWith } from '@laburnumstream/runtime';
+import { createConnector } from '@laburnumstream/runtime';
 import { Pool } from 'undici';
 import type { PieceManifest } from './localEngine.js';
 import { PieceStatus } from './pieceServer.js';
@@ -56,7 +56,7 @@
   private poolOf(host: string): Pool {
     let pool = this.pools.get(host);
     if (!pool) {
-      const options = { connections, connect: connectorWith(connectTimeoutMs) };
+      const options = { connections, connect: createConnector(connectTimeoutMs) };
       pool = new Pool(`http://${host}:${this.port}`, options);
       this.pools.set(host, pool);
     }
--- a/packages/sidecar/src/sidecar.ts
+++ b/packages/sidecar/src/sidecar.ts
@@ -84,14 +84,14 @@
       () => this.reporter.report(),
     );
     this.reporter = new Reporter(
-      settings.endpoint,
+      settings.endpointAddress,
       this.watch,
       () => this.keeper.weightState,
       this.datagrams,
       clock,
     );
     const { view, watch, keeper } = this;
-    metrics.sample(() => sidecarGauges(view, watch, keeper, shelf));
+    metrics.registerGauges(() => sidecarGauges(view, watch, keeper, shelf));
   }
 
   /** Starts working; resolves when all sockets are bound. */
