--- a/packages/common/src/asyncQueue.ts
+++ b/packages/common/src/asyncQueue.ts
@@ -1,4 +1,4 @@
-/** An unbounded queue between one producer and one consumer that iterates over it. */
+/** Unbounded queue with one producer and one consumer, which iterates over it. */
 export class AsyncQueue<Item> implements AsyncIterable<Item> {
   private items: Item[] = [];
 
@@ -10,7 +10,7 @@
 
   private wake: (() => void) | undefined;
 
-  /** Number of items not yet consumed. */
+  /** Number of items that have not been consumed yet. */
   get length(): number {
     return this.items.length - this.head;
   }
@@ -21,13 +21,13 @@
     this.wake?.();
   }
 
-  /** Ends the iteration after the items that are queued. */
+  /** Closes the queue: the iteration ends after the items already queued. */
   end(): void {
     this.ended = true;
     this.wake?.();
   }
 
-  /** Ends the iteration with a failure after the items that are queued. */
+  /** Closes the queue: the iteration throws `error` after the items already queued. */
   fail(error: unknown): void {
     if (!this.ended) this.failure = { error };
     this.end();
--- a/packages/common/src/chart.ts
+++ b/packages/common/src/chart.ts
@@ -2,7 +2,7 @@
 import type { AnyStateMachine, MachineConfig } from 'xstate';
 import { IllegalTransition } from './failures.js';
 
-/** A state chart read from a file; interprets transitions and holds no state itself. */
+/** A stateless interpreter of a statechart: computes transitions, keeps no current state. */
 export class Chart {
   private readonly machine: AnyStateMachine;
 
@@ -10,7 +10,7 @@
 
   readonly initial: string;
 
-  /** `definition` is an xstate machine in JSON. */
+  /** @param definition xstate machine configuration, as parsed from JSON */
   constructor(definition: object) {
     const config = definition as MachineConfig<object, { type: string }>;
     this.machine = createMachine(config);
@@ -18,14 +18,14 @@
     this.initial = String(initialTransition(this.machine)[0].value);
   }
 
-  /** The state after `event`; throws `IllegalTransition` when the chart has no such step. */
+  /** Returns the state after `event`; throws `IllegalTransition` when the chart has no such transition. */
   next(state: string, event: string): string {
     const snapshot = this.machine.resolveState({ value: state, context: {} });
     if (!snapshot.can({ type: event })) throw new IllegalTransition(this.name, state, event);
     return String(transition(this.machine, snapshot, { type: event })[0].value);
   }
 
-  /** Whether the chart accepts `event` in `state`. */
+  /** Whether the chart has a transition for `event` in `state`. */
   accepts(state: string, event: string): boolean {
     return this.machine.resolveState({ value: state, context: {} }).can({ type: event });
   }
--- a/packages/common/src/failures.ts
+++ b/packages/common/src/failures.ts
@@ -1,4 +1,4 @@
-/** Whether the work behind a failed request ran: the promise made to its caller. */
+/** Whether a failed request was executed, as guaranteed to its caller. */
 export const Execution = {
   notRun: 'not run',
   unknown: 'unknown',
@@ -8,20 +8,20 @@
 /** One of the values of {@link Execution}. */
 export type Execution = (typeof Execution)[keyof typeof Execution];
 
-/** What a failure tells its receiver besides its message. */
+/** Properties of a failure besides its type and message. */
 export interface FailureDetails {
   /** HTTP status code used on public interfaces. */
   readonly status?: number;
-  /** Whether the request ran. */
+  /** Whether the request was executed; `notRun` by default. */
   readonly execution?: Execution;
-  /** Delay before the next try, in milliseconds; absent when a retry is useless. */
+  /** Delay before the next attempt, in milliseconds; absent if retrying cannot help. */
   readonly retryAfterMs?: number;
-  /** Whether it is known that no request with the idempotency key has run. */
+  /** Whether it is certain that no request with this idempotency key was executed. */
   readonly keyUnused?: boolean;
   readonly cause?: unknown;
 }
 
-/** Base class of every failure in the system; `type` is stable and machine-readable. */
+/** Base class of all errors of the system; `type` is a stable, machine-readable identifier. */
 export class Failure extends Error {
   readonly type: string;
 
@@ -44,56 +44,56 @@
   }
 }
 
-/** The input does not have the required form. */
+/** The input is malformed. */
 export class InvalidInput extends Failure {
   constructor(message: string) {
     super('invalid_input', message, { status: 400 });
   }
 }
 
-/** The credentials are missing or wrong. */
+/** The credentials are missing or invalid. */
 export class Unauthenticated extends Failure {
   constructor(message = 'A valid bearer token is required.') {
     super('unauthenticated', message, { status: 401 });
   }
 }
 
-/** The credentials are valid but do not allow the operation. */
+/** The credentials are valid but do not permit the operation. */
 export class Forbidden extends Failure {
   constructor(message: string) {
     super('forbidden', message, { status: 403 });
   }
 }
 
-/** The named object does not exist. */
+/** The requested object does not exist. */
 export class NotFound extends Failure {
   constructor(message: string) {
     super('not_found', message, { status: 404 });
   }
 }
 
-/** The stored value changed since it was read. */
+/** The stored value has changed since it was read. */
 export class Conflict extends Failure {
   constructor(message: string) {
     super('conflict', message, { status: 409 });
   }
 }
 
-/** Streams need a version of HTTP whose answers tell their own end. */
+/** The request's HTTP version cannot mark the end of a streamed response. */
 export class VersionUnsupported extends Failure {
   constructor() {
     super('version_unsupported', 'Streams need HTTP/1.1.', { status: 505 });
   }
 }
 
-/** The input is larger than the limit. */
+/** The input exceeds the size limit. */
 export class TooLarge extends Failure {
   constructor(message: string) {
     super('too_large', message, { status: 413 });
   }
 }
 
-/** No capacity is free; the request did not run. */
+/** No capacity is available; the request was not executed. */
 export class Overloaded extends Failure {
   static readonly type = 'overloaded';
 
@@ -102,35 +102,35 @@
   }
 }
 
-/** No endpoint can take the request now; the request did not run. */
+/** No endpoint can currently accept the request; the request was not executed. */
 export class Unavailable extends Failure {
   constructor(message: string, retryAfterMs: number, cause?: unknown) {
     super('unavailable', message, { status: 503, retryAfterMs, cause });
   }
 }
 
-/** The connection broke after dispatch, so whether the request ran is unknown. */
+/** The connection failed after dispatch, so it is unknown whether the request was executed. */
 export class OutcomeUnknown extends Failure {
   constructor(message: string, cause?: unknown) {
     super('outcome_unknown', message, { status: 502, execution: Execution.unknown, cause });
   }
 }
 
-/** The peer did not answer in time. */
+/** The peer did not respond within the timeout. */
 export class Timeout extends Failure {
   constructor(message: string, execution: Execution = Execution.unknown) {
     super('timeout', message, { status: 504, execution });
   }
 }
 
-/** No connection came to be in time, so nothing was sent. */
+/** The connection was not established within the timeout, so nothing was sent. */
 export class ConnectTimeout extends Timeout {
   constructor() {
     super('No connection came to be in time.', Execution.notRun);
   }
 }
 
-/** The peer reset the connection: an answer on it has not ended, whatever of it has come. */
+/** The peer reset the connection: any response on it is incomplete, even if parts were received. */
 export class ConnectionReset extends Failure {
   constructor(cause?: unknown) {
     super('connection_reset', 'The peer reset the connection.', {
@@ -141,7 +141,7 @@
   }
 }
 
-/** The platform's key-value service cannot be reached or answers with a fault. */
+/** The platform's key-value service is unreachable or responds with an error. */
 export class StoreUnavailable extends Failure {
   constructor(message: string, cause?: unknown) {
     super('store_unavailable', message, {
@@ -153,14 +153,14 @@
   }
 }
 
-/** The store no longer has the history after the revision that was asked for. */
+/** The store no longer keeps its history since the requested revision. */
 export class HistoryLost extends Failure {
-  constructor(what: string) {
-    super('history_lost', `The store has no history for ${what}.`, { status: 410 });
+  constructor(target: string) {
+    super('history_lost', `The store has no history for ${target}.`, { status: 410 });
   }
 }
 
-/** The change is certainly not part of the configuration; sending it again is safe. */
+/** The change was definitely not applied to the configuration; resending it is safe. */
 export class NotAccepted extends Failure {
   constructor(message: string, cause?: unknown) {
     super('not_accepted', `The change is not accepted: ${message}`, {
@@ -171,7 +171,7 @@
   }
 }
 
-/** Whether the change was accepted is not known; asking or sending it again by its id is safe. */
+/** It is unknown whether the change was accepted; querying or resending it by its id is safe. */
 export class AcceptanceUnknown extends Failure {
   constructor(
     readonly changeId: string,
@@ -185,25 +185,25 @@
   }
 }
 
-/** Received bytes do not match their expected digest. */
+/** Received data does not match its expected digest. */
 export class Corrupted extends Failure {
   constructor(message: string) {
     super('corrupted', message, { status: 502, execution: Execution.unknown });
   }
 }
 
-/** The idempotency key was used before with another body. */
+/** The idempotency key has already been used with a different body. */
 export class KeyReused extends Failure {
   constructor() {
     super('key_reused', 'The idempotency key belongs to a request with another body.', {
       status: 422,
-      // Under a key that is another request's this one has not run, whatever came of the other.
+      // The key belongs to another request, so this request was not executed in any case.
       keyUnused: true,
     });
   }
 }
 
-/** Another request with the same idempotency key has not ended yet. */
+/** Another request with the same idempotency key is still in progress. */
 export class InProgress extends Failure {
   constructor(retryAfterMs: number) {
     super('in_progress', 'A request with the same idempotency key is running.', {
@@ -214,7 +214,7 @@
   }
 }
 
-/** The connection to an agent broke or went silent; carries what that says of the request. */
+/** The connection to an agent failed or timed out; keeps the properties of the original failure. */
 export class LinkLost extends Failure {
   constructor({ type, message, status, execution, retryAfterMs }: Failure) {
     const details = { status, execution };
@@ -222,7 +222,7 @@
   }
 }
 
-/** The agent does not know the run that is to be attached to. */
+/** The agent does not know the run that the entry tried to attach to. */
 export class RunNotFound extends Failure {
   static readonly type = 'run_not_found';
 
@@ -234,7 +234,7 @@
   }
 }
 
-/** The endpoint died while it ran the request. */
+/** The endpoint crashed while executing the request. */
 export class EndpointDied extends Failure {
   static readonly type = 'endpoint_died';
 
@@ -247,7 +247,7 @@
   }
 }
 
-/** Endpoints died whenever they ran the request; it is not run any more. */
+/** Endpoints crashed each time they executed the request; it is no longer executed. */
 export class CrashingRequest extends Failure {
   constructor(execution: Execution) {
     super('crashing_request', 'Endpoints died while they ran this request.', {
@@ -257,7 +257,7 @@
   }
 }
 
-/** No endpoint serves the weights with which a cut answer began. */
+/** An interrupted response cannot be resumed, as no endpoint serves the weights it began with. */
 export class WeightsChanged extends Failure {
   constructor() {
     super('weights_changed', 'The weights that the answer began with are not served any more.', {
@@ -268,14 +268,14 @@
   }
 }
 
-/** The order carries a fencing number lower than one already seen. */
+/** The order carries a fencing number lower than the highest one seen. */
 export class StaleOrder extends Failure {
   constructor(message: string) {
     super('stale_order', message, { status: 409 });
   }
 }
 
-/** The endpoint refused an order that carried a valid fencing number. */
+/** The endpoint rejected an order although its fencing number was valid. */
 export class OrderRefused extends Failure {
   constructor(message: string) {
     super('order_refused', message, { status: 422 });
@@ -289,21 +289,21 @@
   }
 }
 
-/** The event is not allowed in the present state of a chart. */
+/** The statechart has no transition for the event in the given state. */
 export class IllegalTransition extends Failure {
   constructor(chart: string, state: string, event: string) {
     super('illegal_transition', `Chart ${chart} does not accept ${event} in state ${state}.`);
   }
 }
 
-/** A settings file does not have the required form. */
+/** A settings file is malformed. */
 export class InvalidSettings extends Failure {
   constructor(message: string) {
     super('invalid_settings', message, { status: 400 });
   }
 }
 
-/** Turns anything thrown into a {@link Failure}. */
+/** Converts any thrown value to a {@link Failure}. */
 export function toFailure(error: unknown): Failure {
   if (error instanceof Failure) return error;
   const message = error instanceof Error ? error.message : String(error);
--- a/packages/common/src/fleet.ts
+++ b/packages/common/src/fleet.ts
@@ -1,101 +1,101 @@
 /**
- * What operators and endpoints have registered with the platform, in the terms of this project.
- * Adapters decode their wire forms into these types once.
+ * Platform-neutral types for the configuration and the endpoints registered with the platform.
+ * Adapters decode the platform's wire formats into these types.
  */
 
-/** How a request may be repeated. */
+/** Retry semantics of a route's requests. */
 export const RouteKind = {
-  /** May run more than once. */
+  /** Retryable even if an earlier attempt may have been executed. */
   idempotent: 'idempotent',
-  /** May run once at most. */
+  /** Executed at most once. */
   nonIdempotent: 'nonIdempotent',
-  /** A stream of events: may run once at most, unless its route says that it can be resumed. */
+  /** Event stream, executed at most once unless the route is resumable. */
   stream: 'stream',
 } as const;
 
-/** One of the values of {@link RouteKind}. */
+/** A value of {@link RouteKind}. */
 export type RouteKind = (typeof RouteKind)[keyof typeof RouteKind];
 
-/** A service among which a route's requests are divided. */
+/** A service that receives a share of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Share of the requests, relative to the other targets' weights. */
+  /** Share of the requests, relative to the weights of the other targets. */
   readonly weight: number;
 }
 
-/** Where requests go whose host and path match. */
+/** Routing rule for requests with a matching host and path. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest time until the final answer, in milliseconds. */
+  /** Maximum time until the response is complete, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time until the answer, or a stream's first event, within which it is of full use. */
+  /** Target for the time to the response or to a stream's first event, in milliseconds. */
   readonly latencyTargetMs: number;
-  /** Longest pause between events within which a stream is of full use, in milliseconds. */
+  /** Target for the time between two events of a stream, in milliseconds. */
   readonly eventGapTargetMs: number | undefined;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Endpoints to which one request may be sent at most. */
+  /** Maximum number of endpoints to which one request is sent. */
   readonly maxAttempts: number;
-  /** Whether callers need no key. */
+  /** Whether callers may omit the API key. */
   readonly isPublic: boolean;
-  /** Whether a stream may go on at another endpoint after the last event that was received. */
+  /** Whether another endpoint can resume a stream after the last received event. */
   readonly isResumable: boolean;
   /** Regions in which requests may be served; empty for all. */
   readonly homeRegions: readonly string[];
 }
 
-/** Timing of a model engine, as its service declares it. */
+/** Capacity and timing of a model engine, as declared by its service. */
 export interface EngineProfile {
   readonly slots: number;
-  /** Tokens that fit into the memory for requests. */
+  /** Size of the key-value cache, in tokens. */
   readonly memoryTokens: number;
-  /** Steps that one pass runs, which is also the tokens of one event. */
+  /** Decoding steps in one pass; also the number of tokens in one event. */
   readonly stepsPerPass: number;
   readonly stepMs: number;
-  /** Time that each writing request adds to a step, in milliseconds. */
+  /** Time that each decoding request adds to a step, in milliseconds. */
   readonly stepMsPerSequence: number;
-  /** Time that 1,000 tokens of context add to a step, in milliseconds. */
+  /** Time that each 1,000 tokens of context add to a step, in milliseconds. */
   readonly stepMsPerThousandTokens: number;
   readonly prefillTokensPerSecond: number;
-  /** Time for a million pairs of a read token and an earlier one, in milliseconds. */
+  /** Attention time for a million pairs of a prompt token and an earlier token, in milliseconds. */
   readonly prefillMsPerMillionPairs: number;
-  /** Tokens read in one step at most. */
+  /** Maximum number of prompt tokens processed in one step. */
   readonly prefillChunkTokens: number;
   readonly typicalPromptTokens: number;
   readonly typicalOutputTokens: number;
   readonly layers: number;
-  /** Pieces of one version of the weights. */
+  /** Number of chunks in one version of the weights. */
   readonly chunks: number;
   readonly chunkBytes: number;
-  /** Models that the engine can hold; the time that loading all layers takes, in milliseconds. */
+  /** Models that the engine can load, with the time to load all layers, in milliseconds. */
   readonly models: readonly { readonly name: string; readonly loadMs: number }[];
 }
 
-/** Where the weights of all models come from. */
+/** The origin from which the weights of all models are downloaded. */
 export interface OriginProfile {
   readonly address: string;
   readonly dataCentre: string;
   readonly linkBitsPerSecond: number;
 }
 
-/** A service as operators define it. */
+/** A service as configured by operators. */
 export interface ServiceProfile {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one endpoint accepts from all callers together. */
+  /** Maximum number of connections to one endpoint, from all callers together. */
   readonly maxConnections: number;
-  /** Requests a second that a cold endpoint bears from all callers together; 0 when it is never cold. */
+  /** Maximum request rate of a cold endpoint, for all callers together, per second; 0 if it is never cold. */
   readonly coldRequestsPerSecond: number;
   readonly engine: EngineProfile | undefined;
   readonly origin: OriginProfile | undefined;
 }
 
-/** What callers may send. */
+/** Limits on requests and connections of callers. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -103,61 +103,61 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A customer with its own keys. */
+/** A customer with its own API keys. */
 export interface Workspace {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Takes precedence over the route's priority. */
+  /** Overrides the priority of the route. */
   readonly priority: number | undefined;
-  /** Regions in which its requests may be served; empty for all. */
+  /** Regions in which the workspace's requests may be served; empty for all. */
   readonly homeRegions: readonly string[];
 }
 
-/** One version of the operators' configuration. */
+/** A version of the operators' configuration. */
 export interface FleetConfiguration {
-  /** Grows with each change, not always by one. */
+  /** Increases with each change, not necessarily by one. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, ServiceProfile>;
   readonly limits: CallerLimits;
   readonly workspaces: readonly Workspace[];
-  /** Whether callers need a key on routes that are not public. */
+  /** Whether routes that are not public require an API key. */
   readonly requiresKeys: boolean;
 }
 
-/** Layers of a model that an engine holds, `to` exclusive. */
+/** Range of model layers loaded by an engine; `to` is exclusive. */
 export interface LoadedLayers {
   readonly from: number;
   readonly to: number;
   readonly version: number;
 }
 
-/** What an endpoint registers of itself. */
+/** An endpoint's registration. */
 export interface Endpoint {
   readonly id: string;
-  /** Wall-clock time of its start, in milliseconds; another value means that it has restarted. */
+  /** Wall-clock start time in milliseconds; a different value means that the endpoint restarted. */
   readonly bornAt: number;
   readonly service: string;
   /** IP:PORT */
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests that it runs at once; 0 when it does not say. */
+  /** Maximum number of concurrent requests; 0 if not declared. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** Time for which it bears only little load, from the moment it said so, in milliseconds. */
+  /** Remaining cold-start time, counted from the registration, in milliseconds. */
   readonly coldLeftMs: number;
-  /** Layers of the model that it holds; undefined for plain services and for empty engines. */
+  /** Loaded model layers; undefined for plain services and for engines without weights. */
   readonly layers: LoadedLayers | undefined;
 }
 
-/** Where an entry runs, as it registers itself. */
+/** Location of an entry, as registered by the entry. */
 export interface EntryLocation {
   readonly dataCentre: string;
   /** IP */
   readonly host: string;
 }
 
-/** Version of weights that operators want everywhere. */
+/** The version of a model's weights that operators want all endpoints to serve. */
 export interface NamedVersion {
   readonly model: string;
   readonly version: number;
--- a/packages/common/src/fleetSettings.ts
+++ b/packages/common/src/fleetSettings.ts
@@ -1,44 +1,44 @@
-/** Settings of a process that runs on a platform with a store, as its adapter reads them. */
+/** Settings of a process on a platform with a store, as read by the platform's adapter. */
 
-/** Time bounds and shares that the platform's operators have agreed on. */
+/** Time limits and rate limits required by the platform's operators. */
 export interface FleetBounds {
-  /** Time in which a stop has to be finished, in milliseconds. */
+  /** Deadline for a shutdown, in milliseconds. */
   readonly shutdownMs: number;
-  /** Time after which an endpoint that leaves gets no new request, in milliseconds. */
+  /** Deadline after which a draining endpoint receives no new requests, in milliseconds. */
   readonly drainMs: number;
-  /** Time after which a new configuration is in force, in milliseconds. */
+  /** Deadline for applying a new configuration, in milliseconds. */
   readonly configurationMs: number;
-  /** Time after which a removed key is refused, in milliseconds. */
+  /** Deadline after which a revoked key is rejected, in milliseconds. */
   readonly revocationMs: number;
-  /** Whether requests with keys are refused while it is unknown if keys were removed. */
+  /** Whether requests with keys are rejected while it is unknown whether keys have been revoked. */
   readonly failsClosed: boolean;
-  /** Time after which an evacuated data centre gets no new request, in milliseconds. */
+  /** Deadline after which an evacuated data centre receives no new requests, in milliseconds. */
   readonly evacuationMs: number;
-  /** Time after which no request begins on a version older than the named one, in milliseconds. */
+  /** Deadline after which no request starts on an older version than the named one, in milliseconds. */
   readonly versionMs: number;
-  /** Time after which the address of an endpoint that is gone may belong to another. */
+  /** Time after which the address of a removed endpoint may be reused by another, in milliseconds. */
   readonly addressReuseMs: number;
-  /** Repeated sends that each request earns. */
+  /** Retries allowed per request in the retry budget. */
   readonly retryRatio: number;
-  /** Repeated sends in each window besides, of all entries together. */
+  /** Retries allowed in each window in addition, for all entries together. */
   readonly retrySlack: number;
   readonly retryWindowMs: number;
-  /** Factor on a cold endpoint's declared rate that is still within its bound. */
+  /** Tolerated request rate of a cold endpoint, as a multiple of its declared rate. */
   readonly coldFactor: number;
-  /** Requests a second above that which are still within the bound. */
+  /** Additional tolerated requests per second of a cold endpoint. */
   readonly coldSlack: number;
-  /** Delay of a stream's event on its way to the caller that is still in time, in milliseconds. */
+  /** Maximum delay in relaying a stream event to the caller, in milliseconds. */
   readonly maxEventDelayMs: number;
 }
 
-/** The store of the platform and its limits. */
+/** Address and limits of the platform's store. */
 export interface StoreSettings {
   /** IP:PORT */
   readonly address: string;
   readonly minLeaseMs: number;
 }
 
-/** What each process on the platform is told at its start. */
+/** Settings common to all processes on the platform. */
 export interface FleetSettings {
   readonly instance: string;
   /** IP */
@@ -49,27 +49,27 @@
   readonly regions: ReadonlyMap<string, string>;
   /** First port for calls between the system's own processes. */
   readonly firstPort: number;
-  /** Rate of the instance's own link, in bits a second. */
+  /** Bandwidth of the instance's network link, in bits per second. */
   readonly linkBitsPerSecond: number;
   readonly store: StoreSettings;
-  /** Time between two heartbeats of an endpoint, in milliseconds. */
+  /** Interval between heartbeats of an endpoint, in milliseconds. */
   readonly heartbeatMs: number;
   readonly bounds: FleetBounds;
 }
 
-/** Settings of a process that serves callers. */
+/** Settings of an entry on the platform. */
 export interface ForwarderSettings extends FleetSettings {
-  /** IP:PORT where callers connect. */
+  /** IP:PORT on which callers are served. */
   readonly callerAddress: string;
-  /** IP:PORT where the balancer asks whether the process is ready. */
+  /** IP:PORT on which the load balancer checks readiness. */
   readonly readinessAddress: string;
-  /** Whether no process has run under this name before. */
+  /** Whether no process with this instance name has run before. */
   readonly isFirstStart: boolean;
 }
 
-/** Settings of a process beside an endpoint. */
+/** Settings of an agent on the platform, which runs beside an endpoint. */
 export interface SidecarSettings extends FleetSettings {
-  /** IP:PORT of the endpoint beside it. */
+  /** IP:PORT of the endpoint. */
   readonly endpointAddress: string;
   readonly service: string;
 }
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,4 @@
-/** Platform-neutral core that every other package may import. */
+/** Platform-neutral types and utilities shared by all packages. */
 export * from './asyncQueue.js';
 export * from './chart.js';
 export * from './failures.js';
--- a/packages/common/src/linkedAbort.ts
+++ b/packages/common/src/linkedAbort.ts
@@ -1,29 +1,29 @@
 import { Aborted } from './failures.js';
 
-/** Reason of aborts that only end an operation; made once, since a stack costs more than an abort. */
+/** Shared abort reason for finished operations; a new error per abort would have to capture a stack trace. */
 export const operationEnded = new Aborted('The operation has ended.');
 
 /**
- * An abort signal that follows its owner's until it ends. Hot path: cheaper than `AbortSignal.any`,
- * which keeps weak references to both sides.
+ * An abort controller linked to its owner's signal until {@link end} is called. Hot path: cheaper
+ * than `AbortSignal.any`, which keeps weak references in both directions.
  */
 export class LinkedAbort {
   private readonly controller = new AbortController();
 
-  private readonly follow = (): void => this.controller.abort(this.owner.reason);
+  private readonly onOwnerAbort = (): void => this.controller.abort(this.owner.reason);
 
   constructor(private readonly owner: AbortSignal) {
-    if (owner.aborted) this.follow();
-    else owner.addEventListener('abort', this.follow, { once: true });
+    if (owner.aborted) this.onOwnerAbort();
+    else owner.addEventListener('abort', this.onOwnerAbort, { once: true });
   }
 
   get signal(): AbortSignal {
     return this.controller.signal;
   }
 
-  /** Leaves the owner and fires the signal, so that everything below it stops. */
+  /** Unlinks from the owner and aborts the signal, which stops everything that depends on it. */
   end(): void {
-    this.owner.removeEventListener('abort', this.follow);
+    this.owner.removeEventListener('abort', this.onOwnerAbort);
     this.controller.abort(operationEnded);
   }
 }
--- a/packages/common/src/pauseDetector.ts
+++ b/packages/common/src/pauseDetector.ts
@@ -1,14 +1,14 @@
-/** A look at the clocks after the one before. */
+/** Result of comparing the clocks with the previous check. */
 export interface PauseCheck {
-  /** Whether the process stood still in between. */
+  /** Whether the process was paused since the previous check. */
   readonly paused: boolean;
-  /** Monotonic time since the look before, in milliseconds. */
+  /** Monotonic time since the previous check, in milliseconds. */
   readonly gapMs: number;
 }
 
 /**
- * Notices that the process stood still: stopped, swapped out, or its instance suspended. The
- * monotonic clock shows the first two; a suspended machine shows only on the wall clock.
+ * Detects that the process was paused: stopped, swapped out, or its instance suspended. The first two
+ * show as a gap on the monotonic clock, a suspended instance only on the wall clock.
  */
 export class PauseDetector {
   private lastNow: number;
@@ -18,14 +18,14 @@
   constructor(
     now: number,
     wall: number,
-    /** Time between two looks that counts as a pause, in milliseconds. */
+    /** Time between two checks above which the process counts as paused, in milliseconds. */
     private readonly limitMs: number,
   ) {
     this.lastNow = now;
     this.lastWall = wall;
   }
 
-  /** Looks at the clocks. */
+  /** Compares the clocks with the previous check. */
   check(now: number, wall: number): PauseCheck {
     const gapMs = now - this.lastNow;
     const wallGapMs = wall - this.lastWall;
--- a/packages/common/src/rendezvous.ts
+++ b/packages/common/src/rendezvous.ts
@@ -2,17 +2,17 @@
 
 const { h32, h64 } = await xxhash();
 
-/** A 32-bit hash of a text. */
+/** 32-bit xxHash of a text. */
 export function hash32(text: string): number {
   return h32(text);
 }
 
-/** A 64-bit hash of a text, in hex. */
+/** 64-bit xxHash of a text, in hex. */
 export function hash64(text: string): string {
   return h64(text).toString(16).padStart(16, '0');
 }
 
-/** Orders members by rendezvous hash of (key, member), highest first; ties by name. */
+/** Sorts members by rendezvous hash of key and member name, highest first; ties by name. */
 export function rendezvousOrder<Member>(
   key: string,
   members: readonly Member[],
--- a/packages/common/src/seededRandom.ts
+++ b/packages/common/src/seededRandom.ts
@@ -2,7 +2,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { Random } from './services.js';
 
-/** A repeatable source of numbers from a seed. */
+/** Deterministic pseudo-random number generator. */
 export class SeededRandom implements Random {
   private readonly generator;
 
--- a/packages/common/src/services.ts
+++ b/packages/common/src/services.ts
@@ -1,24 +1,24 @@
 /**
- * The narrow interfaces between the decision logic, the platform and the processes. Implementations
- * are injected through constructors, so that each can be replaced in one place.
+ * Interfaces between the decision logic, the platform and the processes. Implementations are
+ * injected through constructors.
  */
 
 /** Monotonic and wall-clock time in milliseconds. */
 export interface Clock {
-  /** Monotonic time; never goes back. */
+  /** Monotonic time. */
   now(): number;
-  /** Wall-clock time since the Unix epoch. */
+  /** Wall-clock time since the Unix epoch; may jump. */
   wall(): number;
   /** Resolves after `ms`, or rejects with `Aborted` when `signal` fires first. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** A source of numbers in [0, 1). */
+/** Source of uniformly distributed numbers in [0, 1). */
 export interface Random {
   next(): number;
 }
 
-/** A structured logger of one part of a process. */
+/** Structured logger of one component of a process. */
 export interface Log {
   debug(message: string, fields?: Readonly<Record<string, unknown>>): void;
   info(message: string, fields?: Readonly<Record<string, unknown>>): void;
@@ -26,10 +26,10 @@
   error(message: string, fields?: Readonly<Record<string, unknown>>): void;
 }
 
-/** What a value of a metric belongs to, such as a route or a service. */
+/** Labels of a metric's value, such as its route or service. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** A value that can go up and down. */
+/** Name, labels and current value of a gauge. */
 export interface Gauge {
   readonly name: string;
   readonly value: number;
@@ -42,169 +42,169 @@
   gauge(name: string, value: number): void;
   /** Records a duration in milliseconds. */
   observe(name: string, ms: number, labels?: Labels): void;
-  /** Adds gauges that are read each time the metrics are. */
+  /** Registers gauges whose values are read whenever the metrics are collected. */
   registerGauges(read: () => readonly Gauge[]): void;
 }
 
-/** One stored value with the revision of its last write; revisions grow over the whole store. */
+/** A stored value and the revision of its last write; revisions increase across the whole store. */
 export interface StoredValue {
   readonly key: string;
   readonly value: string;
   readonly revision: number;
 }
 
-/** A condition and an optional lease for a write. */
+/** Precondition and lease of a write, both optional. */
 export interface WriteCondition {
-  /** The expected revision; 0 means that the key must not exist. */
+  /** Expected current revision; 0 means that the key must not exist. */
   readonly ifRevision?: number;
-  /** The lease whose end removes the key. */
+  /** Lease on whose expiry the key is deleted. */
   readonly lease?: string;
 }
 
-/** The platform's key-value service. Every call throws `StoreUnavailable` on an outage. */
+/** The platform's key-value service. All calls throw `StoreUnavailable` during an outage. */
 export interface KeyValueStore {
   get(key: string, signal?: AbortSignal): Promise<StoredValue | undefined>;
   list(prefix: string, signal?: AbortSignal): Promise<readonly StoredValue[]>;
-  /** Writes and returns the new revision; throws `Conflict` when the condition fails. */
+  /** Writes a value and returns its revision; throws `Conflict` if the precondition fails. */
   put(key: string, value: string, condition: WriteCondition, signal?: AbortSignal): Promise<number>;
   remove(key: string, ifRevision?: number, signal?: AbortSignal): Promise<void>;
-  /** Waits up to `waitMs` for a revision above `after`; undefined when nothing changed. */
+  /** Waits up to `waitMs` for a revision above `after`; returns undefined if nothing changed. */
   watch(
     key: string,
     after: number,
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<StoredValue | undefined>;
-  /** Grants a lease of `ttlMs` and returns its id. */
+  /** Creates a lease of `ttlMs` and returns its id. */
   grantLease(ttlMs: number, signal?: AbortSignal): Promise<string>;
-  /** Renews a lease; throws `NotFound` when it has ended. */
+  /** Renews a lease; throws `NotFound` if it has expired. */
   renewLease(lease: string, signal?: AbortSignal): Promise<void>;
   revokeLease(lease: string, signal?: AbortSignal): Promise<void>;
 }
 
-/** The kinds of weights that can be published. */
+/** Kinds of published weights. */
 export const WeightKind = { model: 'model', adapter: 'adapter' } as const;
 
-/** One of the values of {@link WeightKind}. */
+/** A value of {@link WeightKind}. */
 export type WeightKind = (typeof WeightKind)[keyof typeof WeightKind];
 
-/** Describes one version of weights; its digest is the identity of the version. */
+/** Describes one version of weights; the manifest's digest identifies the version. */
 export interface Manifest {
   readonly kind: WeightKind;
   readonly model: string;
   readonly version: string;
   /** Total size in bytes. */
   readonly size: number;
-  /** Size of each chunk but the last, in bytes. */
+  /** Size of every chunk except the last, in bytes. */
   readonly chunkBytes: number;
-  /** SHA-256 of every chunk, in hex. */
+  /** SHA-256 of each chunk, in hex. */
   readonly chunks: readonly string[];
   /** SHA-256 of the whole content, in hex. */
   readonly content: string;
 }
 
-/** The origin of weights. */
+/** The origin from which published weights are downloaded. */
 export interface WeightOrigin {
   manifest(model: string, version: string, signal?: AbortSignal): Promise<Manifest>;
   chunk(model: string, version: string, index: number, signal?: AbortSignal): Promise<Uint8Array>;
 }
 
-/** What an instance does. */
+/** Program that an instance runs. */
 export const InstanceRole = { entry: 'entry', agent: 'agent' } as const;
 
-/** One of the values of {@link InstanceRole}. */
+/** A value of {@link InstanceRole}. */
 export type InstanceRole = (typeof InstanceRole)[keyof typeof InstanceRole];
 
-/** What the platform's list says of an instance. */
+/** State of an instance in the platform's list. */
 export const InstanceState = { live: 'live', leaving: 'leaving' } as const;
 
-/** One of the values of {@link InstanceState}. */
+/** A value of {@link InstanceState}. */
 export type InstanceState = (typeof InstanceState)[keyof typeof InstanceState];
 
-/** One line of the platform's lagging list of instances. */
+/** An item of the platform's instance list, which may be out of date. */
 export interface Instance {
   readonly name: string;
   readonly role: InstanceRole;
   readonly region: string;
   readonly dataCentre: string;
-  /** Base URL for calls between the system's own processes. */
+  /** Base URL for calls between the system's processes. */
   readonly address: string;
-  /** Base URL from which an agent serves weight chunks. */
+  /** Base URL at which an agent serves weight chunks. */
   readonly weightsAddress?: string;
-  /** The service of the endpoint beside an agent. */
+  /** Service of the agent's endpoint. */
   readonly service?: string;
   readonly state: InstanceState;
 }
 
-/** The platform's lagging list of live and leaving instances. */
+/** The platform's list of live and leaving instances, which may be out of date. */
 export interface InstanceList {
   list(signal?: AbortSignal): Promise<readonly Instance[]>;
 }
 
-/** A generation request as given to a model engine. */
+/** Generation request to a model engine. */
 export interface Generation {
   readonly id: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Higher runs first. */
+  /** Higher values run first. */
   readonly priority: number;
-  /** The number of tokens already received, when a stream is resumed. */
+  /** Number of tokens already received when a stream is resumed. */
   readonly resumeFrom: number;
-  /** Adapter to apply, when any. */
+  /** Adapter to apply, if any. */
   readonly adapter?: string;
 }
 
-/** One token of a generation. */
+/** A generated token and its position. */
 export interface Token {
   readonly index: number;
   readonly text: string;
 }
 
-/** A lagging load report of an endpoint. */
+/** An endpoint's load report, which may be out of date. */
 export interface LoadReport {
-  /** Changes whenever the endpoint restarts. */
+  /** Identifies the endpoint's process; changes with each restart. */
   readonly boot: string;
   readonly running: number;
   readonly queued: number;
-  /** Work units that the endpoint bears now. */
+  /** Work units that the endpoint can currently handle. */
   readonly capacity: number;
-  /** Digest of the loaded weights; empty when none are loaded. */
+  /** Digest of the loaded weights; empty if none are loaded. */
   readonly weights: string;
   /** Digests of the loaded adapters. */
   readonly adapters: readonly string[];
   readonly role: string;
 }
 
-/** Orders that an engine accepts. */
+/** Kinds of orders to a model engine. */
 export const OrderKind = { load: 'load', unload: 'unload', role: 'role' } as const;
 
-/** One of the values of {@link OrderKind}. */
+/** A value of {@link OrderKind}. */
 export type OrderKind = (typeof OrderKind)[keyof typeof OrderKind];
 
-/** An order to a model engine. */
+/** Order to a model engine. */
 export interface EngineOrder {
   readonly kind: OrderKind;
-  /** Orders with a number below one already seen are refused by engines that check. */
+  /** Fencing number; engines that check it refuse an order with a lower number than one already seen. */
   readonly fencing: number;
   readonly manifest?: Manifest;
   /** Digest of the manifest. */
   readonly digest?: string;
-  /** URL from which the engine reads the whole verified content. */
+  /** URL from which the engine downloads the complete, verified weights. */
   readonly source?: string;
   readonly role?: string;
 }
 
-/** A model engine. */
+/** Client of a model engine. */
 export interface ModelEngine {
-  /** Streams tokens; throws `OutcomeUnknown` when the stream breaks. */
+  /** Streams tokens; throws `OutcomeUnknown` if the stream is interrupted. */
   generate(generation: Generation, signal: AbortSignal): AsyncIterable<Token>;
   cancel(id: string, signal?: AbortSignal): Promise<void>;
   getLoadReport(signal?: AbortSignal): Promise<LoadReport>;
-  /** Throws `StaleOrder` when the engine refuses the fencing number. */
+  /** Sends an order; throws `StaleOrder` if the engine refuses the fencing number. */
   order(order: EngineOrder, signal?: AbortSignal): Promise<void>;
 }
 
-/** A call of a plain service. */
+/** Request to a plain service. */
 export interface PlainCall {
   readonly id: string;
   readonly method: string;
@@ -212,44 +212,44 @@
   readonly body: string;
 }
 
-/** The answer of a plain service. */
+/** Response of a plain service. */
 export interface PlainResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** A plain service beside the model engines. */
+/** Client of a plain service, which is any endpoint that is not a model engine. */
 export interface PlainService {
-  /** Throws `Unavailable` when no connection was made, else `OutcomeUnknown`. */
+  /** Sends a request; throws `Unavailable` if no connection was established, else `OutcomeUnknown`. */
   call(call: PlainCall, signal: AbortSignal): Promise<PlainResponse>;
   getLoadReport(signal?: AbortSignal): Promise<LoadReport>;
 }
 
-/** All values under a prefix, and the store's revision up to which they are complete. */
+/** All values under a prefix as of a revision of the store. */
 export interface StoreSnapshot {
   readonly values: readonly StoredValue[];
   readonly revision: number;
 }
 
-/** A write or, without a value, a removal. */
+/** A write, or a deletion if `value` is undefined. */
 export interface StoreChange {
   readonly key: string;
   readonly value: string | undefined;
   readonly revision: number;
 }
 
-/** Changes in their order, and the revision after which to go on. */
+/** Changes in order of their revisions, and the revision after which to continue watching. */
 export interface StoreChanges {
   readonly changes: readonly StoreChange[];
   readonly revision: number;
 }
 
-/** Follows what changes under a prefix of a store. Every call throws `StoreUnavailable` on an outage. */
+/** Snapshots and changes of a store's prefix. All calls throw `StoreUnavailable` during an outage. */
 export interface StoreFeed {
   snapshot(prefix: string, signal?: AbortSignal): Promise<StoreSnapshot>;
   /**
-   * Waits up to `waitMs` for changes after a revision; none when nothing changed.
-   * Throws `HistoryLost` when the store no longer knows that revision.
+   * Waits up to `waitMs` for changes after revision `after`; returns an empty list if there are none.
+   * Throws `HistoryLost` if the store no longer has the history since that revision.
    */
   changes(
     prefix: string,
--- a/packages/common/src/sleepAwareClock.ts
+++ b/packages/common/src/sleepAwareClock.ts
@@ -1,8 +1,9 @@
 import type { Clock } from './services.js';
 
 /**
- * Time that goes on while the instance sleeps, in milliseconds. The monotonic clock stands still then
- * and the wall clock may be set, so each look adds whichever advanced more since the one before.
+ * A clock in milliseconds that keeps running while the instance is suspended. The monotonic clock
+ * stops during a suspension and the wall clock may be adjusted, so each reading adds whichever of the
+ * two advanced more since the previous reading.
  */
 export class SleepAwareClock {
   private elapsed = 0;
--- a/packages/common/src/timeLimit.ts
+++ b/packages/common/src/timeLimit.ts
@@ -1,8 +1,8 @@
 const ignore = (): void => undefined;
 
 /**
- * A signal that fires after a time, or with its owner. The runtime collects a timeout that only a
- * combined signal refers to, and it never fires then; with a listener of its own it stays.
+ * Creates a signal that aborts after `limitMs` or with `owner`. Node garbage-collects a timeout signal
+ * that only a combined signal refers to, so that it never fires; a listener of its own keeps it alive.
  */
 export function createTimeoutSignal(limitMs: number, owner?: AbortSignal): AbortSignal {
   const timeout = AbortSignal.timeout(limitMs);
