--- a/packages/runtime/src/charts.ts
+++ b/packages/runtime/src/charts.ts
@@ -4,7 +4,7 @@
 
 const require = createRequire(import.meta.url);
 
-/** Reads a chart from its file under charts/. */
+/** Loads the statechart of the given name from the charts package. */
 export function readChart(name: string): Chart {
   const file = require.resolve(`@laburnumstream/charts/${name}.json`);
   return new Chart(JSON.parse(readFileSync(file, 'utf8')) as object);
--- a/packages/runtime/src/connector.ts
+++ b/packages/runtime/src/connector.ts
@@ -2,11 +2,11 @@
 import { ConnectTimeout, InvalidInput } from '@laburnumstream/common';
 import { ResetAwareSocket } from './resetAwareSocket.js';
 
-/** Time in which a connection is established unless its owner says otherwise, in milliseconds. */
+/** Default timeout for establishing a connection, in milliseconds. */
 const defaultTimeoutMs = 10_000;
 const defaultPort = 80;
 
-/** Where a connection goes to, as undici's clients say it. */
+/** Target of a connection, in the form that undici passes to connectors. */
 export interface ConnectorTarget {
   readonly protocol: string;
   readonly hostname: string;
@@ -14,18 +14,18 @@
   readonly port: string;
 }
 
-/** Takes the connection, or the error for which there is none. */
+/** Receives the established connection or the error. */
 export type ConnectorCallback = (
   ...result: [error: null, socket: Socket] | [error: Error, socket: null]
 ) => void;
 
-/** Opens the connections of an undici client. */
+/** Establishes connections for an undici client. */
 export type Connector = (target: ConnectorTarget, callback: ConnectorCallback) => void;
 
 /**
- * The `connect` option of undici's clients: opens connections on which a reset is never taken for the
- * end of an answer. A connection that is not established within `timeoutMs` fails with
- * `ConnectTimeout`.
+ * Creates a connector for the `connect` option of undici's clients. On its connections a reset is
+ * never mistaken for the end of a response. A connection that is not established within `timeoutMs`
+ * fails with `ConnectTimeout`. `onConnecting` is called with each socket before it connects.
  */
 export function createConnector(
   timeoutMs = defaultTimeoutMs,
@@ -41,7 +41,7 @@
     let isOpen = false;
     socket.setNoDelay(true);
     socket.once('close', () => clearTimeout(timer));
-    // Errors of an open connection are told to the client by its own listener.
+    // Once the connection is open, the client's own listener handles errors.
     socket.on('error', (error) => {
       if (!isOpen) callback(error, null);
     });
--- a/packages/runtime/src/digest.ts
+++ b/packages/runtime/src/digest.ts
@@ -5,7 +5,7 @@
   return createHash('sha256').update(content).digest('hex');
 }
 
-/** Compares two texts in a time that does not depend on their content. */
+/** Compares two secrets in constant time. */
 export function isSameSecret(a: string, b: string): boolean {
   return timingSafeEqual(Buffer.from(sha256(a)), Buffer.from(sha256(b)));
 }
--- a/packages/runtime/src/histogramMetrics.ts
+++ b/packages/runtime/src/histogramMetrics.ts
@@ -53,7 +53,7 @@
   return lines;
 }
 
-/** Metrics of one process, held in memory and rendered as text. */
+/** In-memory metrics of a process, rendered in the Prometheus text format. */
 export class HistogramMetrics implements Metrics {
   private readonly counters: Families<number> = new Map();
 
@@ -82,7 +82,7 @@
     this.gaugeReaders.push(read);
   }
 
-  /** The Prometheus text format: the type of each metric, and one line for each value. */
+  /** Renders the Prometheus text format: the type of each metric and a line per value. */
   render(): string {
     const lines: string[] = [];
     this.counters.forEach((family, name) =>
@@ -95,7 +95,7 @@
     return `${lines.join('\n')}\n`;
   }
 
-  /** The gauges that are read now; those whose labels are the same are added. */
+  /** Reads the registered gauges; values of the same gauge with equal labels are summed. */
   private readGauges(): Families<number> {
     const gauges: Families<number> = new Map();
     this.gaugeReaders
--- a/packages/runtime/src/httpServer.ts
+++ b/packages/runtime/src/httpServer.ts
@@ -3,13 +3,13 @@
 import { InvalidInput, TooLarge, toFailure } from '@laburnumstream/common';
 import type { Failure } from '@laburnumstream/common';
 
-/** Splits an IP:PORT address from settings. */
+/** Parses an IP:PORT address. */
 export function parseAddress(address: string): { host: string; port: number } {
   const [host = '', port = '0'] = address.split(':');
   return { host, port: Number(port) };
 }
 
-/** Starts an HTTP server on an IP:PORT address; it closes when the signal fires. */
+/** Starts an HTTP server on an IP:PORT address; it closes, with all its connections, on abort. */
 export function listen(
   address: string,
   listener: RequestListener,
@@ -28,7 +28,7 @@
   });
 }
 
-/** Reads a request's body; throws `TooLarge` beyond `maxBytes`. */
+/** Reads a request's body as UTF-8; throws `TooLarge` if it exceeds `maxBytes`. */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<string> {
   const parts: Buffer[] = [];
   let size = 0;
@@ -40,7 +40,7 @@
   return Buffer.concat(parts).toString('utf8');
 }
 
-/** Parses a JSON object; throws `InvalidInput`. */
+/** Parses a JSON object; throws `InvalidInput` for anything else. */
 export function parseObject(text: string): Record<string, unknown> {
   let value: unknown;
   try {
@@ -54,7 +54,7 @@
   return value as Record<string, unknown>;
 }
 
-/** The body that tells a client about a failure. */
+/** The JSON body of an error response. */
 export function failureBody(failure: Failure): { error: Record<string, unknown> } {
   const { type, message, execution, retryAfterMs } = failure;
   return { error: { type, message, execution, retryAfterMs: retryAfterMs ?? null } };
@@ -62,7 +62,7 @@
 
 const secondMs = 1_000;
 
-/** Sends a JSON response. */
+/** Sends a JSON response; closes the connection if a response has already been started. */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
   if (response.headersSent) {
     response.destroy();
@@ -76,7 +76,7 @@
   response.end(text);
 }
 
-/** Sends a failure with its status and, when a retry is of use, the `retry-after` header. */
+/** Sends an error response, with a `retry-after` header if the failure is retryable. */
 export function sendFailure(response: ServerResponse, error: unknown): void {
   const failure = toFailure(error);
   if (failure.retryAfterMs !== undefined && !response.headersSent) {
@@ -85,7 +85,7 @@
   sendJson(response, failure.status, failureBody(failure));
 }
 
-/** The bearer token of a request, or an empty text. */
+/** The bearer token of a request, or an empty string. */
 export function getBearerToken(request: IncomingMessage): string {
   const header = request.headers.authorization ?? '';
   return header.startsWith('Bearer ') ? header.slice('Bearer '.length) : '';
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** What every process needs around the decision logic: settings, logs, metrics, servers, lifecycles. */
+/** Process infrastructure: settings, logging, metrics, HTTP servers, lifecycles and shutdown. */
 export * from './charts.js';
 export * from './connector.js';
 export * from './digest.js';
--- a/packages/runtime/src/lifecycle.ts
+++ b/packages/runtime/src/lifecycle.ts
@@ -5,7 +5,7 @@
 
 const system = start();
 
-/** Handlers that run when a state is entered; a returned event goes to the chart next. */
+/** Handlers that run when a state is entered; the event that a handler returns is sent next. */
 export type StateHandlers<Event extends string> = Readonly<
   Record<string, (signal: AbortSignal) => Promise<Event | undefined> | undefined>
 >;
@@ -13,8 +13,8 @@
 let actorCount = 0;
 
 /**
- * An actor that walks through a state chart. Each state's handler runs with a signal that fires when
- * the state is left or the owner's signal fires.
+ * An actor that runs a statechart. Each state's handler gets a signal that aborts when the state is
+ * left or the owner's signal aborts.
  */
 export class Lifecycle<Event extends string> {
   private current: string;
@@ -38,12 +38,12 @@
     this.enter(chart.initial);
   }
 
-  /** The present state. */
+  /** The current state. */
   get state(): string {
     return this.current;
   }
 
-  /** Sends an event to the actor; events that the state does not accept are logged and dropped. */
+  /** Sends an event to the actor; events that the current state does not accept are logged and dropped. */
   send(event: Event): void {
     if (!this.signal.aborted) dispatch(this.actor, event);
   }
--- a/packages/runtime/src/lineBudget.ts
+++ b/packages/runtime/src/lineBudget.ts
@@ -1,27 +1,29 @@
-/** Lines of one kind that may be written in a second. */
+/** Default limit on the lines of each kind per second. */
 const maxLinesPerSecond = 100;
 const secondMs = 1_000;
 
-/** Lines of one kind in the present second. */
+/** Counters of one kind of lines. */
 interface KindState {
+  /** The second that `written` counts. */
   second: number;
   written: number;
+  /** Lines suppressed since the last report. */
   suppressed: number;
 }
 
-/** How many lines of a kind were left out in a second. */
+/** Number of suppressed lines of one kind. */
 export interface SuppressedLines {
   readonly kind: string;
   readonly lines: number;
 }
 
-/** Bounds the lines of each kind in a second, and counts those that are left out. */
+/** Limits the log lines of each kind per second and counts the suppressed ones. */
 export class LogRateLimiter {
   private readonly kinds = new Map<string, KindState>();
 
   constructor(private readonly limit = maxLinesPerSecond) {}
 
-  /** Whether a line of a kind may be written at `now`, in monotonic milliseconds. */
+  /** Whether a line may be written at `now`, in monotonic milliseconds; counts it either way. */
   tryAcquire(kind: string, now: number): boolean {
     const second = Math.floor(now / secondMs);
     let state = this.kinds.get(kind);
@@ -41,13 +43,13 @@
     return true;
   }
 
-  /** The kinds of which lines were left out since the last call. */
+  /** Returns and resets the numbers of suppressed lines, for kinds that have any. */
   takeSuppressed(): SuppressedLines[] {
-    const found: SuppressedLines[] = [];
+    const suppressed: SuppressedLines[] = [];
     this.kinds.forEach((state, kind) => {
-      if (state.suppressed > 0) found.push({ kind, lines: state.suppressed });
+      if (state.suppressed > 0) suppressed.push({ kind, lines: state.suppressed });
       Object.assign(state, { suppressed: 0 });
     });
-    return found;
+    return suppressed;
   }
 }
--- a/packages/runtime/src/lineOutput.ts
+++ b/packages/runtime/src/lineOutput.ts
@@ -1,17 +1,17 @@
 import { Writable } from 'node:stream';
 import type { Metrics } from '@laburnumstream/common';
 
-/** Bytes that may wait for a slow reader. */
+/** Maximum bytes buffered in the sink for a slow reader. */
 const maxBufferedBytes = 1_048_576;
 
-/** The part of a stream that lines are written to. */
+/** The subset of a writable stream that lines are written to. */
 export interface LineSink {
-  /** Bytes that the reader has not taken. */
+  /** Bytes buffered and not yet read. */
   readonly writableLength: number;
   write(line: string | Uint8Array): boolean;
 }
 
-/** Writes lines without ever waiting for their reader: lines beyond what may wait are lost. */
+/** Writes lines without backpressure: lines are dropped while the sink's buffer is full. */
 export class LossyLineStream extends Writable {
   constructor(
     private readonly sink: LineSink,
--- a/packages/runtime/src/logger.ts
+++ b/packages/runtime/src/logger.ts
@@ -4,12 +4,12 @@
 import { LossyLineStream } from './lineOutput.js';
 import type { LineSink } from './lineOutput.js';
 
-/** Time between two reports on lines that were left out, in milliseconds. */
+/** Interval between reports of suppressed lines, in milliseconds. */
 const reportIntervalMs = 1_000;
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Metrics of a process that keeps none. */
+/** No-op metrics. */
 const noMetrics: Metrics = {
   count: () => undefined,
   gauge: () => undefined,
@@ -18,8 +18,8 @@
 };
 
 /**
- * Makes loggers for the parts of one process, which write JSON lines to standard output. The number
- * of lines of each kind is bounded; only those on requests that may not be repeated always pass.
+ * Creates loggers for the components of a process, which write JSON lines to standard output. Lines
+ * are rate limited per message, except those about non-retryable requests, which are always written.
  */
 export class LoggerFactory {
   private readonly logger;
@@ -42,12 +42,13 @@
     });
   }
 
-  /** A logger whose messages start with the part's name. */
-  forComponent(part: string): Log {
+  /** Returns a logger whose messages start with the component's name. */
+  forComponent(component: string): Log {
     const write =
       (level: string) =>
       (message: string, fields: Fields = {}): void => {
-        if (this.logger.isLevelEnabled(level)) this.write(level, `${part}: ${message}`, fields);
+        if (this.logger.isLevelEnabled(level))
+          this.write(level, `${component}: ${message}`, fields);
       };
     return {
       debug: write('debug'),
@@ -58,8 +59,8 @@
   }
 
   private write(level: string, message: string, fields: Fields): void {
-    const mustStay = fields.isRepeatable === false;
-    if (!mustStay && !this.rateLimiter.tryAcquire(message, performance.now())) {
+    const isExempt = fields.isRepeatable === false;
+    if (!isExempt && !this.rateLimiter.tryAcquire(message, performance.now())) {
       this.metrics.count('log_lines_left_out', { kind: message });
       this.scheduleReport();
       return;
@@ -68,7 +69,7 @@
     this.logger.log({ level, message, instance: this.instance, ...fields });
   }
 
-  /** Writes one line for all kinds of which lines were left out. */
+  /** Schedules one line that reports the suppressed lines of all kinds. */
   private scheduleReport(): void {
     this.timer ??= setTimeout(() => {
       this.timer = undefined;
--- a/packages/runtime/src/metricFamily.ts
+++ b/packages/runtime/src/metricFamily.ts
@@ -1,8 +1,8 @@
 import type { Labels } from '@laburnumstream/common';
 
-/** Values of one label that are told apart. */
+/** Maximum number of distinct values of one label. */
 const maxLabelValues = 64;
-/** What stands for all further values of a label. */
+/** Replaces all further values of a label. */
 const otherValue = 'other';
 
 const escapes: Readonly<Record<string, string>> = { '\\': '\\\\', '"': '\\"', '\n': '\\n' };
@@ -11,7 +11,7 @@
   return value.replace(/[\\"\n]/g, (character) => escapes[character]!);
 }
 
-/** The labels of one value as the text format has them. */
+/** Formats labels in the Prometheus text format. */
 export function formatLabels(labels: Labels): string {
   const pairs = Object.entries(labels).map(
     ([name, value]) => `${name}="${escapeLabelValue(value)}"`,
@@ -19,17 +19,17 @@
   return pairs.length === 0 ? '' : `{${pairs.join(',')}}`;
 }
 
-/** One value of a metric and its labels. */
+/** A metric's value for one set of labels. */
 export interface Series<Value> {
   readonly labels: Labels;
   value: Value;
 }
 
-/** All values of the metric of one name; the number of values of each label is bounded. */
+/** All series of one metric; the cardinality of each label is limited. */
 export class MetricFamily<Value> {
   private readonly seriesByLabels = new Map<string, Series<Value>>();
 
-  /** The values of each label that are told apart. */
+  /** Distinct values of each label. */
   private readonly knownValues = new Map<string, Set<string>>();
 
   constructor(private readonly create: () => Value) {}
@@ -38,7 +38,7 @@
     return this.seriesByLabels.values();
   }
 
-  /** The value with some labels, which is created when it is not there. */
+  /** Returns the series with the given labels, creating it if necessary. */
   getSeries(labels: Labels = {}): Series<Value> {
     const key = Object.values(labels).join('\n');
     return this.seriesByLabels.get(key) ?? this.add(labels);
@@ -49,11 +49,11 @@
       name,
       this.limitValue(name, value),
     ]);
-    const bounded = Object.fromEntries(pairs) as Labels;
-    const key = Object.values(bounded).join('\n');
+    const limited = Object.fromEntries(pairs) as Labels;
+    const key = Object.values(limited).join('\n');
     let series = this.seriesByLabels.get(key);
     if (!series) {
-      series = { labels: bounded, value: this.create() };
+      series = { labels: limited, value: this.create() };
       this.seriesByLabels.set(key, series);
     }
     return series;
--- a/packages/runtime/src/metricsServer.ts
+++ b/packages/runtime/src/metricsServer.ts
@@ -3,12 +3,11 @@
 import type { HistogramMetrics } from './histogramMetrics.js';
 import { listen } from './httpServer.js';
 
-/** Path at which metrics are served. */
 const metricsPath = '/metrics';
 
 /**
- * Serves metrics at an IP:PORT address. A port that is taken costs the metrics and is logged: the
- * process goes on.
+ * Serves metrics on an IP:PORT address. If the port is already in use, the error is logged and the
+ * process continues without serving metrics.
  */
 export async function serveMetrics(
   address: string,
@@ -31,6 +30,6 @@
       signal,
     );
   } catch (error) {
-    log.error('Metrics are not served.', { address, reason: toFailure(error).message });
+    log.error('Failed to serve metrics.', { address, reason: toFailure(error).message });
   }
 }
--- a/packages/runtime/src/notifier.ts
+++ b/packages/runtime/src/notifier.ts
@@ -1,17 +1,17 @@
 import { operationEnded } from '@laburnumstream/common';
 
-/** Lets loops wait until something has changed, instead of looking again and again. */
+/** A condition variable: lets loops wait for a change instead of polling. */
 export class Notifier {
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
-  /** Wakes everyone who waits. */
+  /** Wakes all waiters. */
   notify(): void {
-    const wakes = [...this.waiting];
-    this.waiting.clear();
+    const wakes = [...this.waiters];
+    this.waiters.clear();
     wakes.forEach((wake) => wake());
   }
 
-  /** Resolves at the next change, or after `ms`; rejects with `Aborted` when the signal fires. */
+  /** Resolves on the next notification or after `ms`; rejects with `Aborted` when the signal aborts. */
   wait(ms: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
       if (signal.aborted) {
@@ -19,23 +19,23 @@
         return;
       }
       const timer = setTimeout(wake, ms);
-      const { waiting } = this;
+      const { waiters } = this;
       signal.addEventListener('abort', stop, { once: true });
-      waiting.add(wake);
+      waiters.add(wake);
 
-      function leave(): void {
+      function cleanUp(): void {
         clearTimeout(timer);
-        waiting.delete(wake);
+        waiters.delete(wake);
         signal.removeEventListener('abort', stop);
       }
 
       function wake(): void {
-        leave();
+        cleanUp();
         resolve();
       }
 
       function stop(): void {
-        leave();
+        cleanUp();
         reject(operationEnded);
       }
     });
--- a/packages/runtime/src/pauseGuard.ts
+++ b/packages/runtime/src/pauseGuard.ts
@@ -3,10 +3,10 @@
 
 const checkIntervalMs = 250;
 
-/** Checks again what the process knew after it stood still; returns when that is done. */
+/** Revalidates the state of the process after a pause of `gapMs`. */
 export type Recheck = (gapMs: number) => Promise<void>;
 
-/** Keeps a process that stood still from acting on what it knew before, until it has checked. */
+/** Prevents a process that was paused from acting on stale state until that has been revalidated. */
 export class PauseGuard {
   private readonly detector: PauseDetector;
 
@@ -21,19 +21,19 @@
     this.detector = new PauseDetector(clock.now(), clock.wall(), limitMs);
   }
 
-  /** Whether the process may act on what it knows. Looks at the clocks: cheap enough for each request. */
+  /** Whether the process may act on its state. Checks the clocks; cheap enough for every request. */
   isSettled(): boolean {
     const { paused, gapMs } = this.detector.check(this.clock.now(), this.clock.wall());
     if (paused) this.startCheck(gapMs);
     return this.checking === undefined;
   }
 
-  /** Resolves when the process may act on what it knows. */
+  /** Resolves when the process may act on its state. */
   async waitUntilSettled(): Promise<void> {
     if (!this.isSettled()) await this.checking;
   }
 
-  /** Looks at the clocks until the signal fires. */
+  /** Checks the clocks periodically until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.isSettled();
@@ -42,9 +42,9 @@
   }
 
   private startCheck(gapMs: number): void {
-    this.log.warn('The process stood still.', { gapMs: Math.round(gapMs) });
-    const before = this.checking ?? Promise.resolve();
-    const checking = before.then(() => this.check(gapMs));
+    this.log.warn('The process was paused.', { gapMs: Math.round(gapMs) });
+    const previous = this.checking ?? Promise.resolve();
+    const checking = previous.then(() => this.check(gapMs));
     this.checking = checking;
     void checking.then(() => {
       if (this.checking === checking) this.checking = undefined;
@@ -55,7 +55,7 @@
     try {
       await this.recheck(gapMs);
     } catch (error) {
-      this.log.warn('The check after a pause failed.', { type: toFailure(error).type });
+      this.log.warn('Revalidation after a pause failed.', { type: toFailure(error).type });
     }
   }
 }
--- a/packages/runtime/src/processAbort.ts
+++ b/packages/runtime/src/processAbort.ts
@@ -1,9 +1,9 @@
 import { setMaxListeners } from 'node:events';
 
-/** The abort controller of a process: any number of parts may listen to it. */
+/** Creates the abort controller of a process, which allows any number of listeners. */
 export function createProcessAbort(): AbortController {
   const abort = new AbortController();
-  // One listener for each connection and part; the usual limit of ten would warn at the eleventh.
+  // Each connection and component adds a listener; by default Node warns from the eleventh on.
   setMaxListeners(0, abort.signal);
   return abort;
 }
--- a/packages/runtime/src/resetAwareSocket.ts
+++ b/packages/runtime/src/resetAwareSocket.ts
@@ -1,12 +1,12 @@
 import { Socket } from 'node:net';
 import { ConnectionReset } from '@laburnumstream/common';
 
-/** Bytes that may stand before a request and mean nothing. */
+/** Empty line, which a server ignores before a request line. */
 const probe = '\r\n';
-/** Time in which a peer that has ended its side takes what is under way to it, in milliseconds. */
+/** Time within which a peer that has closed its side must accept the probe, in milliseconds. */
 const probeTimeoutMs = 500;
 
-/** Errors by which the system tells of a reset when it is read or written. */
+/** Error codes that report a reset connection on a read or write. */
 const resetCodes = new Set(['ECONNRESET', 'EPIPE']);
 
 function getErrorCode(error: Error | undefined): string {
@@ -14,18 +14,18 @@
 }
 
 /**
- * A connection whose `end` means that the peer closed it. Node reports a reset that arrives together
- * with data as an end, and undici takes the error code of a reset for the end of an answer that has no
- * length. Here a reset is always an error, {@link ConnectionReset}: before it tells the end, the socket
- * writes two bytes, which a connection that was reset does not accept. The end comes only to a reader
- * that reads on after the last bytes, since undici fails when it comes while it has paused.
+ * A socket that emits `end` only if the peer has really closed the connection. Node reports a reset
+ * that arrives together with data as an end, and undici treats the error code of a reset as the end of
+ * a response without a length. This socket always reports a reset as the error {@link ConnectionReset}:
+ * before emitting `end` it writes two bytes, which fails on a connection that was reset. It emits `end`
+ * only when the reader reads past the last bytes, since undici fails if `end` arrives while it is paused.
  */
 export class ResetAwareSocket extends Socket {
-  /** Whether the peer has closed its side and the reader does not know yet. */
+  /** Whether the peer has closed its side but `end` has not been emitted yet. */
   private isEndPending = false;
 
   constructor() {
-    // The connection must still accept bytes when the peer has ended its side.
+    // The probe is written after the peer has closed its side.
     super({ allowHalfOpen: true });
   }
 
@@ -34,7 +34,7 @@
     const timer = setTimeout(() => this.destroy(new ConnectionReset()), probeTimeoutMs);
     this.write(probe, (error) => {
       clearTimeout(timer);
-      // On an error the stream destroys itself.
+      // On an error the stream is destroyed automatically.
       if (!error) this.scheduleEnd();
     });
     return false;
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -27,7 +27,7 @@
     instances: url,
     originRegion: name,
   }),
-  /** The first secret is used for own calls; all are accepted, so that keys can be changed. */
+  /** The first secret is sent with outgoing calls; all are accepted, so that secrets can be rotated. */
   secrets: z.array(z.string().min(16)).min(1),
   log: z
     .strictObject({ level: z.enum(['debug', 'info', 'warn', 'error']).default('info') })
@@ -39,7 +39,7 @@
   role: z.literal('entry'),
   ...common,
   listen: z.strictObject({ callers: address, operators: address, internal: address }),
-  /** Operators who may act before the configuration names any: name to SHA-256 of the token. */
+  /** Operators allowed until the configuration defines some: name to SHA-256 of the token. */
   bootstrapOperators: z.record(z.string(), z.string().regex(/^[0-9a-f]{64}$/)).default({}),
 });
 
@@ -49,24 +49,24 @@
   listen: z.strictObject({
     internal: address,
     weights: address,
-    /** Where entries reach `internal`, if that is another address. */
+    /** Address at which entries reach `internal`, if it differs. */
     advertised: address.optional(),
   }),
   service: name,
   endpoint: z.strictObject({
     kind: z.enum(['engine', 'plain']),
     url,
-    /** Whether the endpoint refuses orders with an old fencing number. */
+    /** Whether the endpoint refuses orders with a stale fencing number. */
     checksFencing: z.boolean().default(true),
   }),
 });
 
 const schemas = { entry: entrySettings, agent: agentSettings } as const;
 
-/** Checked settings of an entry process. */
+/** Validated settings of an entry. */
 export type EntrySettings = z.infer<typeof entrySettings>;
 
-/** Checked settings of an agent process. */
+/** Validated settings of an agent. */
 export type AgentSettings = z.infer<typeof agentSettings>;
 
 function getLineNumber(text: string, offset: number): number {
@@ -76,11 +76,11 @@
 function formatIssue(file: string, text: string, issue: z.core.$ZodIssue): string {
   const tree = parseTree(text);
   const path = issue.path.map((part) => (typeof part === 'symbol' ? String(part) : part));
-  let known = path;
-  let node = tree && findNodeAtLocation(tree, known);
-  while (!node && known.length > 0) {
-    known = known.slice(0, -1);
-    node = tree && findNodeAtLocation(tree, known);
+  let knownPath = path;
+  let node = tree && findNodeAtLocation(tree, knownPath);
+  while (!node && knownPath.length > 0) {
+    knownPath = knownPath.slice(0, -1);
+    node = tree && findNodeAtLocation(tree, knownPath);
   }
   const key = path.join('.') || '(whole file)';
   return `${file}:${getLineNumber(text, node?.offset ?? 0)}: ${key}: ${issue.message}`;
@@ -98,8 +98,8 @@
 }
 
 /**
- * Checks the text of a settings file whole.
- * Throws `InvalidSettings` that names file, line, key and what was expected, one line a fault.
+ * Parses and validates the text of a settings file. Throws `InvalidSettings` with one line per error,
+ * which names the file, line, key and what was expected.
  */
 export function parseSettings<Role extends keyof typeof schemas>(
   role: Role,
@@ -112,7 +112,7 @@
   throw new InvalidSettings(lines.join('\n'));
 }
 
-/** Reads a settings file of either role. */
+/** Reads the text of a settings file; throws `InvalidSettings`. */
 export function readSettingsText(file: string): string {
   try {
     return readFileSync(file, 'utf8');
@@ -121,7 +121,7 @@
   }
 }
 
-/** The role that a settings file names; throws `InvalidSettings`. */
+/** Reads the role from the text of a settings file; throws `InvalidSettings`. */
 export function parseRole(file: string, text: string): keyof typeof schemas {
   const value = parseJson(file, text) as { role?: unknown } | undefined;
   if (value?.role === 'entry' || value?.role === 'agent') return value.role;
--- a/packages/runtime/src/shutdown.ts
+++ b/packages/runtime/src/shutdown.ts
@@ -5,8 +5,8 @@
 export const ExitCode = { success: 0, failure: 1, usage: 2 } as const;
 
 /**
- * Runs `stop` once on SIGTERM or SIGINT and exits. The exit code tells whether all work ended within
- * `limitMs`.
+ * Runs `stop` once on SIGTERM or SIGINT and exits the process. The exit code is `success` only if
+ * `stop` completes within `limitMs`.
  */
 export function onShutdown(stop: () => Promise<void>, limitMs: number, log: Log): void {
   let stopping = false;
@@ -15,7 +15,7 @@
     stopping = true;
     log.info('Shutdown started.');
     setTimeout(() => {
-      log.error('Shutdown took too long; work was cut.', { limitMs });
+      log.error('Shutdown timed out; in-flight work was aborted.', { limitMs });
       process.exit(ExitCode.failure);
     }, limitMs).unref();
     stop().then(
@@ -33,13 +33,13 @@
   process.on('SIGINT', shutDown);
 }
 
-/** Runs `reload` on each SIGHUP; a fault in the settings leaves the present ones in force. */
+/** Runs `reload` on each SIGHUP; if the settings are invalid, the current ones remain in effect. */
 export function onReload(reload: () => void, log: Log): void {
   process.on('SIGHUP', () => {
     try {
       reload();
     } catch (error) {
-      log.error('Settings not reloaded.', { reason: toFailure(error).message });
+      log.error('Failed to reload settings.', { reason: toFailure(error).message });
     }
   });
 }
--- a/packages/runtime/src/systemClock.ts
+++ b/packages/runtime/src/systemClock.ts
@@ -1,7 +1,7 @@
 import { operationEnded } from '@laburnumstream/common';
 import type { Clock, Random } from '@laburnumstream/common';
 
-/** The clock of the instance. */
+/** The system's monotonic and wall clocks. */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
@@ -33,5 +33,5 @@
   }
 }
 
-/** The instance's source of random numbers. */
+/** The JavaScript engine's random numbers. */
 export const systemRandom: Random = { next: Math.random };
