--- a/packages/clients/src/httpClient.ts
+++ b/packages/clients/src/httpClient.ts
@@ -9,13 +9,13 @@
 import type { Failure } from '@laburnumstream/common';
 import { createConnector } from '@laburnumstream/runtime';
 
-/** A response with its whole body. */
+/** A response with its complete body. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** A request of {@link HttpClient}. */
+/** A request to be sent by {@link HttpClient}. */
 export interface HttpRequest {
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
@@ -24,20 +24,20 @@
   readonly signal?: AbortSignal | undefined;
 }
 
-/** Makes the failure for a connection that broke or never came to be. */
+/** Creates the failure for a request whose connection failed or was never established. */
 export type ConnectionFailureFactory = (message: string, cause: unknown) => Failure;
 
 const createStoreUnavailable: ConnectionFailureFactory = (message, cause) =>
   new StoreUnavailable(message, cause);
 
-/** Code of connections that the peer closed, unlike those closed by this side. */
+/** Error code of connections closed by the peer; undici uses other codes for those it closes itself. */
 const socketClosedCode = 'UND_ERR_SOCKET';
 
 function isConnectionLoss(error: Error): boolean {
   return error instanceof ConnectionReset || (error as { code?: string }).code === socketClosedCode;
 }
 
-/** A small JSON and bytes client over one pool of connections. */
+/** A minimal HTTP client with one connection pool. */
 export class HttpClient {
   private readonly pool: Pool;
 
@@ -48,18 +48,18 @@
     private readonly timeoutMs: number,
     private readonly createFailure: ConnectionFailureFactory = createStoreUnavailable,
     connections = 16,
-    onLoss?: () => void,
+    onConnectionLoss?: () => void,
   ) {
     const url = new URL(baseUrl);
     this.prefix = url.pathname.replace(/\/$/, '');
     this.pool = new Pool(url.origin, { connections, pipelining: 1, connect: createConnector() });
-    if (!onLoss) return;
+    if (!onConnectionLoss) return;
     this.pool.on('disconnect', (_origin, _targets, error) => {
-      if (isConnectionLoss(error)) onLoss();
+      if (isConnectionLoss(error)) onConnectionLoss();
     });
   }
 
-  /** Sends a request and reads the whole response; throws the client's connection failure. */
+  /** Sends a request and reads the complete response; throws the client's connection failure. */
   async send(request: HttpRequest): Promise<HttpResponse> {
     const signal = createTimeoutSignal(request.timeoutMs ?? this.timeoutMs, request.signal);
     try {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Sends a request and returns the body as a stream of bytes. */
+  /** Sends a request and returns the response body as a stream. */
   async stream(request: HttpRequest): Promise<{ status: number; body: AsyncIterable<Buffer> }> {
     try {
       const { statusCode, body } = await this.pool.request({
--- a/packages/clients/src/httpInstanceList.ts
+++ b/packages/clients/src/httpInstanceList.ts
@@ -4,7 +4,7 @@
 
 const retryAfterMs = 1_000;
 
-/** The platform's list of instances over HTTP. */
+/** Reads the platform's instance list over HTTP. */
 export class HttpInstanceList implements InstanceList {
   private readonly client: HttpClient;
 
--- a/packages/clients/src/httpKeyValueStore.ts
+++ b/packages/clients/src/httpKeyValueStore.ts
@@ -3,7 +3,7 @@
 import { HttpClient } from './httpClient.js';
 import type { HttpRequest, HttpResponse } from './httpClient.js';
 
-/** Time beyond a watch's own wait before its connection counts as dead, in milliseconds. */
+/** Time added to a watch's duration for its request timeout, in milliseconds. */
 const watchGraceMs = 2_000;
 
 const toPath = (key: string): string => `/kv/${encodeURIComponent(key)}`;
@@ -16,7 +16,7 @@
   }
 }
 
-/** The platform's key-value service over HTTP. */
+/** Client of the platform's key-value service over HTTP. */
 export class HttpKeyValueStore implements KeyValueStore {
   private readonly client: HttpClient;
 
--- a/packages/clients/src/httpModelEngine.ts
+++ b/packages/clients/src/httpModelEngine.ts
@@ -19,30 +19,30 @@
 import { splitLines } from './lines.js';
 
 const retryAfterMs = 500;
-/** Time that an engine may take to load weights, in milliseconds. */
+/** Timeout for orders, which include loading weights, in milliseconds. */
 const orderTimeoutMs = 60_000;
 
-/** One line of an engine's answer stream. */
+/** One line of an engine's response stream. */
 interface EngineLine {
   readonly index?: number;
   readonly text?: string;
   readonly end?: boolean;
 }
 
-/** Whether an error means that no connection came to be, so that nothing ran. */
+/** Whether no connection was established, so that the request was not executed. */
 function isConnectFailure(cause: unknown): boolean {
   const { code } = (cause ?? {}) as { code?: string };
   return code === 'ECONNREFUSED' || cause instanceof ConnectTimeout;
 }
 
-/** The failure of a call to an endpoint. */
+/** Creates the failure of a call to an endpoint, depending on whether a connection was established. */
 export function toEndpointFailure(message: string, cause: unknown): Failure {
   return isConnectFailure(cause)
     ? new Unavailable(message, retryAfterMs, cause)
     : new OutcomeUnknown(message, cause);
 }
 
-/** A model engine over HTTP; answers are lines of JSON. */
+/** Client of a model engine over HTTP; responses are streams of newline-delimited JSON. */
 export class HttpModelEngine implements ModelEngine {
   private readonly client: HttpClient;
 
@@ -50,9 +50,9 @@
     baseUrl: string,
     timeoutMs: number,
     /** Called when the endpoint closes or resets a connection. */
-    onLoss?: () => void,
+    onConnectionLoss?: () => void,
   ) {
-    this.client = new HttpClient(baseUrl, timeoutMs, toEndpointFailure, 256, onLoss);
+    this.client = new HttpClient(baseUrl, timeoutMs, toEndpointFailure, 256, onConnectionLoss);
   }
 
   async *generate(generation: Generation, signal: AbortSignal): AsyncIterable<Token> {
@@ -65,12 +65,12 @@
     if (response.status !== 200) {
       throw new OutcomeUnknown(`The engine answered ${response.status}.`);
     }
-    let ended = false;
+    let hasEnded = false;
     try {
-      // Hot path: one small object for each token.
+      // Hot path: allocates one small object per token.
       for await (const line of splitLines(response.body)) {
         const { index, text, end } = JSON.parse(line) as EngineLine;
-        if (end) ended = true;
+        if (end) hasEnded = true;
         else yield { index: index ?? 0, text: text ?? '' };
       }
     } catch (error) {
@@ -78,7 +78,7 @@
       if (error instanceof Failure) throw error;
       throw new OutcomeUnknown(`The engine's stream broke: ${String(error)}`, error);
     }
-    if (!ended) throw new OutcomeUnknown("The engine's stream ended without its end mark.");
+    if (!hasEnded) throw new OutcomeUnknown("The engine's stream ended without its end mark.");
   }
 
   async cancel(id: string, signal?: AbortSignal): Promise<void> {
--- a/packages/clients/src/httpPlainService.ts
+++ b/packages/clients/src/httpPlainService.ts
@@ -5,7 +5,7 @@
 
 const retryAfterMs = 500;
 
-/** A plain service over HTTP. */
+/** Client of a plain service over HTTP. */
 export class HttpPlainService implements PlainService {
   private readonly client: HttpClient;
 
@@ -13,9 +13,9 @@
     baseUrl: string,
     private readonly timeoutMs: number,
     /** Called when the endpoint closes or resets a connection. */
-    onLoss?: () => void,
+    onConnectionLoss?: () => void,
   ) {
-    this.client = new HttpClient(baseUrl, timeoutMs, toEndpointFailure, 64, onLoss);
+    this.client = new HttpClient(baseUrl, timeoutMs, toEndpointFailure, 64, onConnectionLoss);
   }
 
   async call(call: PlainCall, signal: AbortSignal): Promise<PlainResponse> {
--- a/packages/clients/src/httpWeightOrigin.ts
+++ b/packages/clients/src/httpWeightOrigin.ts
@@ -5,7 +5,7 @@
 
 const retryAfterMs = 500;
 
-/** The origin of weights over HTTP. */
+/** Client of the weight origin over HTTP. */
 export class HttpWeightOrigin implements WeightOrigin {
   private readonly client: HttpClient;
 
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP adapters for the platform's services and the endpoints; each replaceable in one file. */
+/** HTTP clients of the platform's services and of the endpoints. */
 export * from './httpClient.js';
 export * from './httpInstanceList.js';
 export * from './httpKeyValueStore.js';
--- a/packages/clients/src/instances.ts
+++ b/packages/clients/src/instances.ts
@@ -1,14 +1,14 @@
 import type { Clock, Instance, InstanceList, Log, Random } from '@laburnumstream/common';
 import { InstanceRole, toFailure } from '@laburnumstream/common';
 
-/** Time between reads while the list has never been read, in milliseconds. */
+/** Refresh interval until the list contains an entry, in milliseconds. */
 const initialIntervalMs = 200;
-/** Share of the interval by which reads vary, so that a fleet does not read at once. */
+/** Jitter as a share of the interval, so that the instances of a fleet do not refresh at the same time. */
 const intervalJitter = 0.5;
 
 /**
- * A copy of the platform's lagging list, refreshed in the background. The last one read stays in
- * force while the platform is out of reach.
+ * A cache of the platform's instance list, refreshed in the background. The last list remains in use
+ * while the platform is unreachable.
  */
 export class InstanceCache {
   private current: readonly Instance[] = [];
@@ -29,23 +29,24 @@
     return this.current.filter(({ role }) => role === InstanceRole.agent);
   }
 
-  /** Agents beside the endpoints of a service. */
+  /** Returns the agents of a service's endpoints. */
   getAgents(service: string): readonly Instance[] {
     return this.agents.filter((instance) => instance.service === service);
   }
 
+  /** Refreshes the list until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       try {
         this.current = await this.list.list(signal);
       } catch (error) {
-        this.log.warn('The list of instances is out of reach.', { type: toFailure(error).type });
+        this.log.warn('The instance list is unreachable.', { type: toFailure(error).type });
       }
       await this.clock.sleep(this.nextDelayMs(), signal).catch(() => undefined);
     }
   }
 
-  /** Reads are spread over time; at first they are frequent, as nothing is known yet. */
+  /** Applies jitter to the interval; refreshes frequently while no entry is known. */
   private nextDelayMs(): number {
     if (this.entries.length === 0) return Math.min(initialIntervalMs, this.intervalMs);
     return this.intervalMs * (1 - intervalJitter / 2 + this.random.next() * intervalJitter);
--- a/packages/clients/src/lines.ts
+++ b/packages/clients/src/lines.ts
@@ -1,6 +1,6 @@
 /**
- * Splits a stream of bytes into lines. Hot path: one text for each piece of the stream and each line,
- * without the streams that `node:readline` puts in between.
+ * Splits a byte stream into lines. Hot path: allocates one string per chunk and per line, and avoids
+ * the intermediate streams of `node:readline`.
  */
 export async function* splitLines(body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
   const decoder = new TextDecoder();
