--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -1,14 +1,14 @@
 import type { OperatorClient } from './operatorClient.js';
 
-/** How a change is to be made. */
+/** Options of a change. */
 export interface ChangeMode {
   readonly dryRun: boolean;
-  /** Names the change, so that sending it again does not apply it again. */
+  /** Idempotency key: a change that is resent under the same id is applied only once. */
   readonly changeId: string;
   readonly ifRevision?: number;
 }
 
-/** The arguments of a command after parsing. */
+/** Parsed arguments of a command. */
 export interface Invocation {
   readonly positionals: readonly string[];
   readonly client: OperatorClient;
@@ -19,11 +19,11 @@
   readonly limit: string | undefined;
 }
 
-/** An operators' command. */
+/** A command of the operators' tool. */
 export interface Command {
   readonly usage: string;
   readonly summary: string;
   readonly run: (invocation: Invocation) => Promise<unknown>;
-  /** Makes readable text of the answer; indented JSON when absent. */
-  readonly render?: (answer: unknown) => string;
+  /** Formats the response as text; indented JSON if absent. */
+  readonly render?: (response: unknown) => string;
 }
--- a/packages/cli/src/commands/explainCommand.ts
+++ b/packages/cli/src/commands/explainCommand.ts
@@ -4,23 +4,23 @@
 import { InvalidInput, NotFound } from '@laburnumstream/common';
 import { RequestTimeline, parseLogLine, renderTimeline } from '../explanation.js';
 
-async function readLines(source: Readable, explanation: RequestTimeline): Promise<void> {
+async function readLines(source: Readable, timeline: RequestTimeline): Promise<void> {
   for await (const text of createInterface({ input: source })) {
     const line = parseLogLine(text);
-    if (line) explanation.addLine(line);
+    if (line) timeline.addLine(line);
   }
 }
 
 /**
- * Prints what the logs of any number of instances say of one request, in order. Reads the files, or
- * standard input when there are none. Throws `NotFound` when no line names the request.
+ * Formats the timeline of a request from the logs of any number of instances. Reads the given files,
+ * or standard input if there are none. Throws `NotFound` if no line refers to the request.
  */
 export async function explain(id: string | undefined, files: readonly string[]): Promise<string> {
   if (!id) throw new InvalidInput('The argument ID is missing.');
-  const explanation = new RequestTimeline(id);
-  if (files.length === 0) await readLines(process.stdin, explanation);
-  for (const file of files) await readLines(createReadStream(file), explanation);
-  const story = explanation.getEntries();
-  if (story.length === 0) throw new NotFound(`No line names the request ${id}.`);
-  return renderTimeline(story);
+  const timeline = new RequestTimeline(id);
+  if (files.length === 0) await readLines(process.stdin, timeline);
+  for (const file of files) await readLines(createReadStream(file), timeline);
+  const entries = timeline.getEntries();
+  if (entries.length === 0) throw new NotFound(`No line names the request ${id}.`);
+  return renderTimeline(entries);
 }
--- a/packages/cli/src/commands/operatorCommands.ts
+++ b/packages/cli/src/commands/operatorCommands.ts
@@ -18,7 +18,7 @@
   }
 }
 
-/** The body of a change: its fields, why and how. */
+/** Creates the request body of a change: its fields, options and reason. */
 function createChangeBody({ reason, mode }: Invocation, fields: object = {}): object {
   return { ...fields, ...mode, reason };
 }
@@ -55,8 +55,8 @@
     const model = getRequiredArgument(invocation, 1, 'MODEL');
     const version = getRequiredArgument(invocation, 2, 'VERSION');
     const body = createChangeBody(invocation, { version });
-    const answer = await invocation.client.call('POST', `roll-outs/${model}`, body);
-    return invocation.wait ? waitForRollOut(invocation, model) : answer;
+    const response = await invocation.client.call('POST', `roll-outs/${model}`, body);
+    return invocation.wait ? waitForRollOut(invocation, model) : response;
   },
   status: (invocation) => {
     const model = getRequiredArgument(invocation, 1, 'MODEL');
@@ -87,7 +87,7 @@
   };
 }
 
-/** The operators' commands by name. */
+/** Operators' commands by name. */
 export const operatorCommands: Readonly<Record<string, Command>> = {
   get: {
     usage: 'get',
--- a/packages/cli/src/commands/rendering.ts
+++ b/packages/cli/src/commands/rendering.ts
@@ -31,9 +31,9 @@
   }[];
 }
 
-/** An answer as indented JSON. */
-export function formatJson(answer: unknown): string {
-  return JSON.stringify(answer, null, indentSpaces);
+/** Formats a response as indented JSON. */
+export function formatJson(response: unknown): string {
+  return JSON.stringify(response, null, indentSpaces);
 }
 
 function formatValue(value: unknown): string {
@@ -45,7 +45,7 @@
   return `  ${path}: ${formatValue(from)} -> ${formatValue(to)}`;
 }
 
-/** Rows in columns that are as wide as their longest cell. */
+/** Aligns rows in columns as wide as their longest cell. */
 function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
@@ -60,8 +60,8 @@
     .join('\n');
 }
 
-/** The outcome of a change, or what it would alter. */
-export function renderChange(answer: unknown): string {
+/** Formats the outcome of a change or, for a dry run, its effects. */
+export function renderChange(response: unknown): string {
   const {
     accepted,
     dryRun,
@@ -69,7 +69,7 @@
     changeId,
     changes = [],
     effects = [],
-  } = answer as ChangeResponse;
+  } = response as ChangeResponse;
   if (!dryRun) {
     const outcome = accepted ? `accepted as revision ${revision}` : 'not accepted up to now';
     return `${outcome} (change ${changeId})`;
@@ -89,9 +89,9 @@
   ].join('\n');
 }
 
-/** The audit trail, oldest first. */
-export function renderAudit(answer: unknown): string {
-  const { records, complete } = answer as { records: readonly AuditRecord[]; complete: boolean };
+/** Formats the audit trail, oldest first. */
+export function renderAudit(response: unknown): string {
+  const { records, complete } = response as { records: readonly AuditRecord[]; complete: boolean };
   const lines = records.flatMap(({ revision, at, author, action, reason, outcome, changes }) => [
     `${revision}  ${new Date(at).toISOString()}  ${author}  ${action}: ${reason} (${outcome})`,
     ...changes.map(formatItemChange),
@@ -108,14 +108,14 @@
   readonly expiresAt?: number;
 }
 
-/** The exceptions, or the outcome of a change of them. */
-export function renderExceptions(answer: unknown): string {
-  if (!Array.isArray(answer)) return renderChange(answer);
+/** Formats the exceptions, or the outcome of a change to them. */
+export function renderExceptions(response: unknown): string {
+  if (!Array.isArray(response)) return renderChange(response);
   const pairs = (value: Readonly<Record<string, unknown>>): string =>
     Object.entries(value)
       .map(([key, item]) => `${key}=${String(item)}`)
       .join(' ');
-  const rows = (answer as readonly Exception[]).map((item) => [
+  const rows = (response as readonly Exception[]).map((item) => [
     item.id,
     pairs(item.scope),
     pairs(item.policy),
@@ -141,9 +141,9 @@
   }[];
 }
 
-/** What one entry knows of data centres and agents. */
-export function renderStatus(answer: unknown): string {
-  const { instance, revision, dataCentres, members } = answer as StatusResponse;
+/** Formats an entry's view of data centres and agents. */
+export function renderStatus(response: unknown): string {
+  const { instance, revision, dataCentres, members } = response as StatusResponse;
   const centres = Object.entries(dataCentres).map(([name, { state }]) => `${name} ${state}`);
   const rows = members.map(({ name, dataCentre, service, leaving, inFlight, limit, queued }) => [
     name,
--- a/packages/cli/src/commands/rollOutProgress.ts
+++ b/packages/cli/src/commands/rollOutProgress.ts
@@ -4,11 +4,11 @@
 const pollMs = 500;
 const secondMs = 1_000;
 
-function formatTimeLeft(left: number | undefined): string {
-  return left === undefined ? '' : `, ${Math.ceil(left / secondMs)} s left`;
+function formatTimeLeft(leftMs: number | undefined): string {
+  return leftMs === undefined ? '' : `, ${Math.ceil(leftMs / secondMs)} s left`;
 }
 
-/** Progress of a roll-out as the administration API shows it. */
+/** Progress of a roll-out, as returned by the administration API. */
 interface Progress {
   readonly version: string;
   readonly endpoints: number;
@@ -17,7 +17,7 @@
   readonly timeLeftMs?: number;
 }
 
-/** Waits until a roll-out ends; shows progress when standard error is a terminal. */
+/** Waits until a roll-out ends; shows its progress if standard error is a terminal. */
 export async function waitForRollOut({ client }: Invocation, model: string): Promise<unknown> {
   let progress: Progress;
   do {
--- a/packages/cli/src/explanation.ts
+++ b/packages/cli/src/explanation.ts
@@ -1,4 +1,4 @@
-/** One line of a process's log. */
+/** A line of a process's log. */
 export interface LogLine {
   readonly timestamp: string;
   readonly instance: string;
@@ -6,20 +6,20 @@
   readonly [field: string]: unknown;
 }
 
-/** A line of a story: something about the request itself, or what a process believed then. */
+/** A log line about the request itself or about the state of a process that handled it. */
 export interface TimelineEntry {
   readonly line: LogLine;
   readonly isProcessState: boolean;
 }
 
-/** What a line says of the state of its process; a later line of the same subject replaces it. */
+/** Returns which part of its process's state a line is about; a later line with the same subject replaces it. */
 type SubjectSelector = (line: LogLine) => string | undefined;
 
 function getEndpoint({ endpoint }: LogLine): string | undefined {
   return typeof endpoint === 'string' ? endpoint : undefined;
 }
 
-/** The subjects of lines on what a process believes, by message. */
+/** Subjects of the log lines about process state, by message. */
 const subjects: Readonly<Record<string, SubjectSelector>> = {
   'fleet: Configuration in force.': () => 'configuration',
   'store: Store not reachable.': () => 'store',
@@ -33,17 +33,17 @@
   'process: Started.': () => 'process',
 };
 
-/** The first line of a process: what the one before it believed is gone. */
+/** First message of a process; state logged by earlier processes of its instance is obsolete. */
 const startMessage = 'process: Started.';
 
-/** Forgets what a process believed that has been started anew. */
+/** Discards the state logged by earlier processes of the line's instance. */
 function discardStateOf({ instance }: LogLine, latest: Map<string, LogLine>): void {
   latest.forEach((line, key) => {
     if (line.instance === instance) latest.delete(key);
   });
 }
 
-/** Reads one line of a log, which may have other text before it; undefined when it is none. */
+/** Parses a log line, ignoring any text before the JSON object; returns undefined if it is not a log line. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -54,12 +54,12 @@
       typeof timestamp === 'string' && typeof instance === 'string' && typeof message === 'string';
     return isLine ? (value as LogLine) : undefined;
   } catch {
-    // Logs of other programs may stand between.
+    // The input may be interleaved with logs of other programs.
     return undefined;
   }
 }
 
-/** Collects the story of one request from the lines of any number of processes. */
+/** Builds the timeline of one request from the log lines of any number of processes. */
 export class RequestTimeline {
   private readonly requestLines: LogLine[] = [];
 
@@ -73,16 +73,17 @@
   }
 
   /**
-   * The request's lines in order of time, and before them what the processes that handled it
-   * believed when it came, as far as that concerns it. Empty when no line names the request.
+   * Returns the request's lines in chronological order, with changes of the relevant process state in
+   * between. They are preceded by the state of the processes that handled the request as of its
+   * arrival, as far as it is relevant. Empty if no line refers to the request.
    */
   getEntries(): TimelineEntry[] {
-    const own = [...this.requestLines].sort((a, b) => a.timestamp.localeCompare(b.timestamp));
-    const [first] = own;
+    const ownLines = [...this.requestLines].sort((a, b) => a.timestamp.localeCompare(b.timestamp));
+    const [first] = ownLines;
     if (!first) return [];
-    const last = own.at(-1)!;
-    const instances = new Set(own.map(({ instance }) => instance));
-    const endpoints = new Set(own.flatMap((line) => getEndpoint(line) ?? []));
+    const last = ownLines.at(-1)!;
+    const instances = new Set(ownLines.map(({ instance }) => instance));
+    const endpoints = new Set(ownLines.flatMap((line) => getEndpoint(line) ?? []));
     const latest = new Map<string, LogLine>();
     const during: TimelineEntry[] = [];
     [...this.stateLines]
@@ -94,13 +95,13 @@
         if (line.timestamp > first.timestamp) during.push({ line, isProcessState: true });
         else {
           if (line.message === startMessage) discardStateOf(line, latest);
-          // Set anew, so that the latest belief stands last.
+          // Deleted first, so that the latest line becomes the last in iteration order.
           latest.delete(`${line.instance} ${subject}`);
           latest.set(`${line.instance} ${subject}`, line);
         }
       });
     const before = [...latest.values()].map((line) => ({ line, isProcessState: true }));
-    const after = [...own.map((line) => ({ line, isProcessState: false })), ...during].sort(
+    const after = [...ownLines.map((line) => ({ line, isProcessState: false })), ...during].sort(
       (a, b) => a.line.timestamp.localeCompare(b.line.timestamp),
     );
     return [...before, ...after];
@@ -109,9 +110,9 @@
 
 const hiddenFields = new Set(['timestamp', 'instance', 'message', 'level', 'id']);
 
-/** The story as text, one line for each step. */
-export function renderTimeline(story: readonly TimelineEntry[]): string {
-  return story
+/** Formats a timeline as text, one line per entry. */
+export function renderTimeline(entries: readonly TimelineEntry[]): string {
+  return entries
     .map(({ line, isProcessState }) => {
       const fields = Object.entries(line)
         .filter(([name]) => !hiddenFields.has(name))
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** The operators' command; what tests use of it. */
+/** Parts of the operators' command-line tool that tests use. */
 export * from './explanation.js';
 export * from './operatorClient.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -101,13 +101,13 @@
   const address = values.address ?? process.env[addressVariable] ?? 'http://127.0.0.1:8081';
   const client = new OperatorClient(address, values.token ?? process.env[tokenVariable] ?? '');
   const { reason = '', json = false, wait = false, since, limit } = values;
-  const mode = changeModeOf(values);
+  const mode = toChangeMode(values);
   const result = await command.run({ positionals, client, reason, wait, mode, since, limit });
   const text = json ? JSON.stringify(result) : (command.render ?? formatJson)(result);
   process.stdout.write(`${text}\n`);
 }
 
-function changeModeOf(values: ReturnType<typeof parse>['values']): ChangeMode {
+function toChangeMode(values: ReturnType<typeof parse>['values']): ChangeMode {
   const ifRevision = values['if-revision'];
   if (ifRevision !== undefined && !/^\d+$/.test(ifRevision)) {
     throw new InvalidInput('--if-revision: expected a whole number');
@@ -144,6 +144,6 @@
 main().catch((error: unknown) => {
   const failure = toFailure(error);
   process.stderr.write(`${failure.type}: ${failure.message}\n`);
-  const usageFault = failure instanceof InvalidInput || failure instanceof InvalidSettings;
-  process.exit(usageFault ? ExitCode.usage : ExitCode.failure);
+  const isUsageError = failure instanceof InvalidInput || failure instanceof InvalidSettings;
+  process.exit(isUsageError ? ExitCode.usage : ExitCode.failure);
 });
--- a/packages/cli/src/operatorClient.ts
+++ b/packages/cli/src/operatorClient.ts
@@ -1,7 +1,7 @@
 import { Failure } from '@laburnumstream/common';
 import { request } from 'undici';
 
-/** A failure that the administration API answered. */
+/** Body of an error response of the administration API. */
 interface FailureBody {
   readonly error?: { readonly type?: string; readonly message?: string };
 }
@@ -18,23 +18,23 @@
   return new Failure('unreachable', `${baseUrl} gave no answer (${String(error)})${advice}`);
 }
 
-/** Calls the administration API of one entry. */
+/** Client of an entry's administration API. */
 export class OperatorClient {
   constructor(
     private readonly baseUrl: string,
     private readonly token: string,
   ) {}
 
-  /** Sends a call; throws the typed failure that the API answers. */
+  /** Sends a request; throws the failure described by an error response. */
   async call(method: 'GET' | 'POST' | 'DELETE', path: string, body?: object): Promise<unknown> {
-    const { statusCode, body: answer } = await request(`${this.baseUrl}/admin/v1/${path}`, {
+    const { statusCode, body: response } = await request(`${this.baseUrl}/admin/v1/${path}`, {
       method,
       headers: { authorization: `Bearer ${this.token}`, 'content-type': 'application/json' },
       body: body ? JSON.stringify(body) : null,
     }).catch((error: unknown) => {
       throw createUnreachableFailure(this.baseUrl, body, error);
     });
-    const value = await answer.json().catch((error: unknown) => {
+    const value = await response.json().catch((error: unknown) => {
       throw createUnreachableFailure(this.baseUrl, body, error);
     });
     if (statusCode === 200) return value;
