--- a/packages/cli/src/commands/explainCommand.ts
+++ b/packages/cli/src/commands/explainCommand.ts
@@ -2,7 +2,7 @@
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 import { InvalidInput, NotFound } from '@laburnumstream/common';
-import { RequestTimeline, parseLogLine, renderTimeline } from '../explanation.js';
+import { RequestTimeline, parseLogLine, renderTimeline } from '../requestTimeline.js';
 
 async function readLines(source: Readable, timeline: RequestTimeline): Promise<void> {
   for await (const text of createInterface({ input: source })) {
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
 /** Parts of the operators' command-line tool that tests use. */
-export * from './explanation.js';
+export * from './requestTimeline.js';
 export * from './operatorClient.js';
--- a/packages/clients/src/httpModelEngine.ts
+++ b/packages/clients/src/httpModelEngine.ts
@@ -16,7 +16,7 @@
   Token,
 } from '@laburnumstream/common';
 import { HttpClient } from './httpClient.js';
-import { splitLines } from './lines.js';
+import { splitLines } from './splitLines.js';
 
 const retryAfterMs = 500;
 /** Timeout for orders, which include loading weights, in milliseconds. */
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -5,4 +5,4 @@
 export * from './httpModelEngine.js';
 export * from './httpPlainService.js';
 export * from './httpWeightOrigin.js';
-export * from './instances.js';
+export * from './instanceCache.js';
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -10,5 +10,5 @@
 export * from './seededRandom.js';
 export * from './services.js';
 export * from './sleepAwareClock.js';
-export * from './timeLimit.js';
+export * from './timeoutSignal.js';
 export * from './pauseDetector.js';
--- a/packages/runtime/src/logger.ts
+++ b/packages/runtime/src/logger.ts
@@ -1,8 +1,8 @@
 import type { Log, Metrics } from '@laburnumstream/common';
 import { createLogger, format, transports } from 'winston';
-import { LogRateLimiter } from './lineBudget.js';
-import { LossyLineStream } from './lineOutput.js';
-import type { LineSink } from './lineOutput.js';
+import { LogRateLimiter } from './logRateLimiter.js';
+import { LossyLineStream } from './lossyLineStream.js';
+import type { LineSink } from './lossyLineStream.js';
 
 /** Interval between reports of suppressed lines, in milliseconds. */
 const reportIntervalMs = 1_000;
