--- a/bench/src/heavyDays/heavyDay.ts
+++ b/bench/src/heavyDays/heavyDay.ts
@@ -49,7 +49,7 @@
   origin: undefined,
   engine: {
     slots: 16,
-    memoryTokens: 685_000,
+    kvCacheTokens: 685_000,
     stepsPerPass: 6,
     stepMs: 7.4,
     stepMsPerSequence: 0.0387,
--- a/bench/src/heavyDays/ways.ts
+++ b/bench/src/heavyDays/ways.ts
@@ -58,13 +58,13 @@
 function endpointOf(engine: number, profile: ServiceProfile): Endpoint {
   return {
     id: `engine-${engine}`,
-    bornAt: 1,
+    startedAt: 1,
     service,
     address: `10.0.0.${engine}:80`,
     dataCentre: 'a',
     slots: profile.engine!.slots,
     isDraining: false,
-    coldLeftMs: 0,
+    coldRemainingMs: 0,
     layers: { from: 0, to: profile.engine!.layers, version: 1 },
   };
 }
--- a/features/steps/misleadingEndpoints.steps.ts
+++ b/features/steps/misleadingEndpoints.steps.ts
@@ -95,7 +95,7 @@
 
 /** Registers an endpoint with another start; returns whether it may be used. */
 function restart({ state, directory }: GrownFleet, index: number, bornAt: number): boolean {
-  state.takeEndpoint({ ...grownEndpoint(index), bornAt });
+  state.takeEndpoint({ ...grownEndpoint(index), startedAt: bornAt });
   directory.refresh();
   return isUsable(directory, index);
 }
--- a/features/support/grownFleet.ts
+++ b/features/support/grownFleet.ts
@@ -39,13 +39,13 @@
 export function grownEndpoint(index: number): Endpoint {
   return {
     id: `e${index}`,
-    bornAt: 1,
+    startedAt: 1,
     service: grownService,
     address: `10.1.${Math.floor(index / 250)}.${index % 250}:80`,
     dataCentre: dataCentreOf(index),
     slots: 8,
     isDraining: false,
-    coldLeftMs: 0,
+    coldRemainingMs: 0,
     layers: undefined,
   };
 }
--- a/packages/common/src/fleet.ts
+++ b/packages/common/src/fleet.ts
@@ -53,7 +53,7 @@
 export interface EngineProfile {
   readonly slots: number;
   /** Size of the key-value cache, in tokens. */
-  readonly memoryTokens: number;
+  readonly kvCacheTokens: number;
   /** Decoding steps in one pass; also the number of tokens in one event. */
   readonly stepsPerPass: number;
   readonly stepMs: number;
@@ -136,7 +136,7 @@
 export interface Endpoint {
   readonly id: string;
   /** Wall-clock start time in milliseconds; a different value means that the endpoint restarted. */
-  readonly bornAt: number;
+  readonly startedAt: number;
   readonly service: string;
   /** IP:PORT */
   readonly address: string;
@@ -145,7 +145,7 @@
   readonly slots: number;
   readonly isDraining: boolean;
   /** Remaining cold-start time, counted from the registration, in milliseconds. */
-  readonly coldLeftMs: number;
+  readonly coldRemainingMs: number;
   /** Loaded model layers; undefined for plain services and for engines without weights. */
   readonly layers: LoadedLayers | undefined;
 }
--- a/packages/forwarding/src/endpointDirectory.ts
+++ b/packages/forwarding/src/endpointDirectory.ts
@@ -65,7 +65,7 @@
     this.handles.forEach((handle, id) => {
       const endpoint = endpoints.get(id);
       if (
-        endpoint?.bornAt === handle.endpoint.bornAt &&
+        endpoint?.startedAt === handle.endpoint.startedAt &&
         endpoint.address === handle.endpoint.address
       )
         return;
@@ -190,7 +190,7 @@
     });
   }
 
-  private takeCold(handle: EndpointHandle, { coldLeftMs }: Endpoint): void {
+  private takeCold(handle: EndpointHandle, { coldRemainingMs: coldLeftMs }: Endpoint): void {
     if (coldLeftMs <= 0) return;
     Object.assign(handle, {
       coldUntil: Math.max(handle.coldUntil, this.clock.now() + coldLeftMs),
--- a/packages/forwarding/src/fleetState.ts
+++ b/packages/forwarding/src/fleetState.ts
@@ -160,7 +160,7 @@
       isDraining,
       version: layers?.version ?? 0,
       layers: layers ? layers.to - layers.from : 0,
-      isNew: known === undefined || known.bornAt !== endpoint.bornAt,
+      isNew: known === undefined || known.startedAt !== endpoint.startedAt,
     });
     this.changed();
   }
--- a/packages/forwarding/src/sidecarLinks.ts
+++ b/packages/forwarding/src/sidecarLinks.ts
@@ -159,7 +159,7 @@
     const handle = this.directory.at(report.address);
     if (
       !handle ||
-      (handle.endpoint.bornAt !== 0 && handle.endpoint.bornAt !== Number(report.bornAt))
+      (handle.endpoint.startedAt !== 0 && handle.endpoint.startedAt !== Number(report.bornAt))
     )
       return;
     const now = this.clock.now();
--- a/packages/runtime/src/pauseGuard.ts
+++ b/packages/runtime/src/pauseGuard.ts
@@ -4,18 +4,18 @@
 const checkIntervalMs = 250;
 
 /** Revalidates the state of the process after a pause of `gapMs`. */
-export type Recheck = (gapMs: number) => Promise<void>;
+export type Revalidation = (gapMs: number) => Promise<void>;
 
 /** Prevents a process that was paused from acting on stale state until that has been revalidated. */
 export class PauseGuard {
   private readonly detector: PauseDetector;
 
-  private checking: Promise<void> | undefined;
+  private pendingRevalidation: Promise<void> | undefined;
 
   constructor(
     private readonly clock: Clock,
     limitMs: number,
-    private readonly recheck: Recheck,
+    private readonly revalidate: Revalidation,
     private readonly log: Log,
   ) {
     this.detector = new PauseDetector(clock.now(), clock.wall(), limitMs);
@@ -24,13 +24,13 @@
   /** Whether the process may act on its state. Checks the clocks; cheap enough for every request. */
   isSettled(): boolean {
     const { paused, gapMs } = this.detector.check(this.clock.now(), this.clock.wall());
-    if (paused) this.startCheck(gapMs);
-    return this.checking === undefined;
+    if (paused) this.startRevalidation(gapMs);
+    return this.pendingRevalidation === undefined;
   }
 
   /** Resolves when the process may act on its state. */
   async waitUntilSettled(): Promise<void> {
-    if (!this.isSettled()) await this.checking;
+    if (!this.isSettled()) await this.pendingRevalidation;
   }
 
   /** Checks the clocks periodically until the signal aborts. */
@@ -41,19 +41,19 @@
     }
   }
 
-  private startCheck(gapMs: number): void {
+  private startRevalidation(gapMs: number): void {
     this.log.warn('The process was paused.', { gapMs: Math.round(gapMs) });
-    const previous = this.checking ?? Promise.resolve();
-    const checking = previous.then(() => this.check(gapMs));
-    this.checking = checking;
-    void checking.then(() => {
-      if (this.checking === checking) this.checking = undefined;
+    const previous = this.pendingRevalidation ?? Promise.resolve();
+    const pending = previous.then(() => this.runRevalidation(gapMs));
+    this.pendingRevalidation = pending;
+    void pending.then(() => {
+      if (this.pendingRevalidation === pending) this.pendingRevalidation = undefined;
     });
   }
 
-  private async check(gapMs: number): Promise<void> {
+  private async runRevalidation(gapMs: number): Promise<void> {
     try {
-      await this.recheck(gapMs);
+      await this.revalidate(gapMs);
     } catch (error) {
       this.log.warn('Revalidation after a pause failed.', { type: toFailure(error).type });
     }
