--- a/bench/src/heavyDays/ways.ts
+++ b/bench/src/heavyDays/ways.ts
@@ -47,7 +47,7 @@
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
-  sample: () => undefined,
+  registerGauges: () => undefined,
 };
 
 /** Region of an engine or entry: they are dealt out in turn. */
@@ -58,13 +58,13 @@
 function endpointOf(engine: number, profile: ServiceProfile): Endpoint {
   return {
     id: `engine-${engine}`,
-    bornAt: 1,
+    startedAt: 1,
     service,
     address: `10.0.0.${engine}:80`,
     dataCentre: 'a',
     slots: profile.engine!.slots,
     isDraining: false,
-    coldLeftMs: 0,
+    coldRemainingMs: 0,
     layers: { from: 0, to: profile.engine!.layers, version: 1 },
   };
 }
@@ -95,7 +95,7 @@
       async place(request, isReturned, signal) {
         const { id, workspace, promptTokens, arrivesAt, kind } = request;
         const goalAt = arrivesAt + kind.goalMs;
-        const answerTokens = request.events * profile.engine!.stride;
+        const answerTokens = request.events * profile.engine!.stepsPerPass;
         const placed = {
           id,
           service,
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -13,7 +13,7 @@
   HttpInstanceList,
   HttpKeyValueStore,
   HttpWeightOrigin,
-  Instances,
+  InstanceCache,
 } from '@laburnumstream/clients';
 import { AgentService } from '@laburnumstream/protocol';
 import {
@@ -23,9 +23,9 @@
   PauseGuard,
   SystemClock,
   listen,
-  makeProcessAbort,
+  createProcessAbort,
   readChart,
-  splitAddress,
+  parseAddress,
   systemRandom,
 } from '@laburnumstream/runtime';
 import type { AgentSettings } from '@laburnumstream/runtime';
@@ -61,7 +61,7 @@
 
   private readonly metrics = new HistogramMetrics();
 
-  private readonly abort = makeProcessAbort();
+  private readonly abort = createProcessAbort();
 
   private readonly log: Log;
 
@@ -81,7 +81,7 @@
 
   private wasTakenOut = false;
 
-  private readonly instances: Instances;
+  private readonly instances: InstanceCache;
 
   private readonly runHandler: RunHandler;
 
@@ -102,30 +102,30 @@
     private readonly logs: LoggerFactory,
   ) {
     const { options, platform } = settings;
-    this.log = logs.part('agent');
+    this.log = logs.forComponent('agent');
     this.secrets = new Secrets(settings.secrets);
     const now = (): number => this.clock.now();
     this.links = new LinkPool(this.secrets, options.linkAgeMs, now, this.abort.signal);
     const getWeight = (workspace: string): number => this.resolvePolicy({ workspace }).weight;
     this.gate = new EndpointGate(policyDefaults, getWeight, this.clock, this.metrics);
-    this.instances = new Instances(
+    this.instances = new InstanceCache(
       new HttpInstanceList(platform.instances, options.platformTimeoutMs),
       this.clock,
       options.instanceListMs,
-      logs.part('instances'),
+      logs.forComponent('instances'),
       systemRandom,
     );
     this.follower = new ConfigurationFollower(
       this.links,
       (configuration) => this.applyConfiguration(configuration),
-      logs.part('configuration'),
+      logs.forComponent('configuration'),
     );
     this.presence = this.createPresence();
     this.pauseGuard = new PauseGuard(
       this.clock,
       options.pauseLimitMs,
       () => this.handlePause(),
-      logs.part('process'),
+      logs.forComponent('process'),
     );
     this.endpoint = openEndpoint(settings, this.gate, this.clock);
     this.endpointRunner = new EndpointRunner(
@@ -141,7 +141,7 @@
       store: new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs),
       clock: this.clock,
       metrics: this.metrics,
-      log: logs.part('requests'),
+      log: logs.forComponent('requests'),
       signal: this.abort.signal,
     });
     this.weightStore = new WeightStore(options.weightMemoryBytes);
@@ -153,7 +153,7 @@
   async start(): Promise<void> {
     const { settings, abort } = this;
     const { signal } = abort;
-    const { host, port } = splitAddress(settings.listen.internal);
+    const { host, port } = parseAddress(settings.listen.internal);
     this.internalServer = await serveInternal(
       { host, port, secrets: this.secrets },
       (router) => {
@@ -171,13 +171,13 @@
       signal,
     );
     await this.serveWeights(signal);
-    void this.instances.follow(signal);
+    void this.instances.run(signal);
     void this.presence.heartbeat.run(signal);
     void this.pauseGuard.run(signal);
     void this.pollEndpoint(signal);
     this.weightReconciler?.start(readChart('weights'), signal);
     const process = readChart('process');
-    this.lifecycle = new Lifecycle(process, {}, this.logs.part('process'), signal);
+    this.lifecycle = new Lifecycle(process, {}, this.logs.forComponent('process'), signal);
     this.lifecycle.send('READY');
     this.log.info('Agent started.', { internal: settings.listen.internal });
   }
@@ -218,7 +218,7 @@
       this.follower,
       () => this.runHandler.drain(),
       this.clock,
-      this.logs.part('heartbeat'),
+      this.logs.forComponent('heartbeat'),
     );
   }
 
@@ -243,7 +243,7 @@
       peers: this.weightPeers,
       receiveLimiter: new ConstantRateLimiter(clock, options.weightBytesPerSecond),
     };
-    const log = logs.part('weights');
+    const log = logs.forComponent('weights');
     const store = new HttpKeyValueStore(platform.keyValue, options.platformTimeoutMs);
     return new WeightReconciler(
       settings,
@@ -262,7 +262,8 @@
 
   private countLocalEndpoints(): number {
     const { service, dataCentre } = this.settings;
-    return this.instances.agentsOf(service).filter((each) => each.dataCentre === dataCentre).length;
+    return this.instances.getAgents(service).filter((each) => each.dataCentre === dataCentre)
+      .length;
   }
 
   private createWeightPeers(): WeightPeers {
@@ -284,7 +285,7 @@
       service,
       state: InstanceState.live,
     };
-    return new WeightPeers(self, platform.originRegion, () => this.instances.agentsOf(service));
+    return new WeightPeers(self, platform.originRegion, () => this.instances.getAgents(service));
   }
 
   private async serveWeights(signal: AbortSignal): Promise<void> {
@@ -317,7 +318,7 @@
   private async pollEndpoint(signal: AbortSignal): Promise<void> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     while (!signal.aborted) {
-      const report = await source?.load(signal).catch(() => undefined);
+      const report = await source?.getLoadReport(signal).catch(() => undefined);
       if (report) this.applyLoadReport(report);
       await this.clock.sleep(loadPollMs, signal).catch(() => undefined);
     }
--- a/packages/agent/src/endpointRunner.ts
+++ b/packages/agent/src/endpointRunner.ts
@@ -60,7 +60,7 @@
   async checkAlive(): Promise<void> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     try {
-      this.bootId = (await source?.load())?.boot ?? '';
+      this.bootId = (await source?.getLoadReport())?.boot ?? '';
     } catch (error) {
       throw new Unavailable('The endpoint is down.', retryAfterMs, error);
     }
@@ -101,7 +101,7 @@
   private async hasDied(boot: string): Promise<boolean> {
     const source = this.endpoint.engine ?? this.endpoint.plain;
     try {
-      const report = await source?.load();
+      const report = await source?.getLoadReport();
       return boot !== '' && report?.boot !== boot;
     } catch {
       return true;
--- a/packages/agent/src/monitoredEngine.ts
+++ b/packages/agent/src/monitoredEngine.ts
@@ -41,8 +41,8 @@
     return this.engine.cancel(id, signal);
   }
 
-  load(signal?: AbortSignal): Promise<LoadReport> {
-    return this.engine.load(signal);
+  getLoadReport(signal?: AbortSignal): Promise<LoadReport> {
+    return this.engine.getLoadReport(signal);
   }
 
   /** Loading weights leaves the engine cold: the limit is lowered before the order and after it. */
--- a/packages/agent/src/runStream.ts
+++ b/packages/agent/src/runStream.ts
@@ -1,5 +1,5 @@
 import { LinkedAbort, OutcomeUnknown, toFailure } from '@laburnumstream/common';
-import type { Clock, Failure, PlainAnswer } from '@laburnumstream/common';
+import type { Clock, Failure, PlainResponse } from '@laburnumstream/common';
 import { tokensDigest, callResponseDigest } from '@laburnumstream/decisions';
 import { toRefusal } from '@laburnumstream/links';
 import type { MessageInitShape } from '@laburnumstream/links';
@@ -19,7 +19,7 @@
 
   private readonly texts: string[] = [];
 
-  private response: PlainAnswer | undefined;
+  private response: PlainResponse | undefined;
 
   private storedFailure: Failure | undefined;
 
@@ -42,7 +42,7 @@
     return this.storedFailure;
   }
 
-  get plainResponse(): PlainAnswer | undefined {
+  get plainResponse(): PlainResponse | undefined {
     return this.response;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Ends the run; `response` is the response of a plain service. */
-  finish(response?: PlainAnswer): void {
+  finish(response?: PlainResponse): void {
     this.response = response;
     this.done = true;
     this.wakeReaders();
--- a/packages/agent/src/weightReconciler.ts
+++ b/packages/agent/src/weightReconciler.ts
@@ -215,7 +215,7 @@
     const { digest } = this.wanted!;
     await this.awaitPreviousLeases(signal);
     // The roll-out may have been stopped, or the endpoint switched, while this process was paused.
-    const report = await this.engine.load(signal);
+    const report = await this.engine.getLoadReport(signal);
     this.observe(report);
     if (!this.isWanted(this.wanted) || serves(report, digest)) return 'FAILED';
     // A paused process may resume after its lease has expired: check right before the order.
@@ -253,7 +253,7 @@
     const { manifest } = version;
     try {
       await this.engine.order({ kind: 'load', fencing, manifest, digest, source }, signal);
-      const report = await this.engine.load(signal);
+      const report = await this.engine.getLoadReport(signal);
       this.lastOrder = { digest, fencing, at: this.clock.now() };
       this.observe(report);
       if (!serves(report, digest)) throw new StaleOrder('The endpoint serves another version.');
--- a/packages/agent/src/weightStore.ts
+++ b/packages/agent/src/weightStore.ts
@@ -1,4 +1,4 @@
-import { NotFound, Overloaded, timeLimit } from '@laburnumstream/common';
+import { NotFound, Overloaded, createTimeoutSignal } from '@laburnumstream/common';
 import type { Manifest } from '@laburnumstream/common';
 
 /** One version of weights, complete or in transfer. */
@@ -111,7 +111,7 @@
     return new Promise((resolve) => {
       const waiters = this.waiters.get(digest) ?? new Set();
       this.waiters.set(digest, waiters);
-      const timeoutSignal = timeLimit(waitMs, signal);
+      const timeoutSignal = createTimeoutSignal(waitMs, signal);
       const check = (): void => {
         const found = match();
         if (!found && !timeoutSignal.aborted) return;
--- a/packages/cli/src/commands/rendering.ts
+++ b/packages/cli/src/commands/rendering.ts
@@ -1,5 +1,5 @@
-const indent = 2;
-const longestValue = 100;
+const indentSpaces = 2;
+const maxValueLength = 100;
 
 interface ItemChange {
   readonly path: string;
@@ -18,7 +18,7 @@
   readonly changes: readonly ItemChange[];
 }
 
-interface ChangeAnswer {
+interface ChangeResponse {
   readonly accepted: boolean;
   readonly dryRun?: boolean;
   readonly revision: number | null;
@@ -31,22 +31,22 @@
   }[];
 }
 
-/** An answer as indented JSON. */
-export function indented(answer: unknown): string {
-  return JSON.stringify(answer, null, indent);
+/** Formats a response as indented JSON. */
+export function formatJson(response: unknown): string {
+  return JSON.stringify(response, null, indentSpaces);
 }
 
-function short(value: unknown): string {
+function formatValue(value: unknown): string {
   const text = value === undefined ? 'none' : JSON.stringify(value);
-  return text.length > longestValue ? `${text.slice(0, longestValue)}…` : text;
+  return text.length > maxValueLength ? `${text.slice(0, maxValueLength)}…` : text;
 }
 
-function changeLine({ path, from, to }: ItemChange): string {
-  return `  ${path}: ${short(from)} -> ${short(to)}`;
+function formatItemChange({ path, from, to }: ItemChange): string {
+  return `  ${path}: ${formatValue(from)} -> ${formatValue(to)}`;
 }
 
-/** Rows in columns that are as wide as their longest cell. */
-function table(rows: readonly (readonly string[])[]): string {
+/** Aligns rows in columns as wide as their longest cell. */
+function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
   );
@@ -60,8 +60,8 @@
     .join('\n');
 }
 
-/** The outcome of a change, or what it would alter. */
-export function renderChange(answer: unknown): string {
+/** Formats the outcome of a change or, for a dry run, its effects. */
+export function renderChange(response: unknown): string {
   const {
     accepted,
     dryRun,
@@ -69,7 +69,7 @@
     changeId,
     changes = [],
     effects = [],
-  } = answer as ChangeAnswer;
+  } = response as ChangeResponse;
   if (!dryRun) {
     const outcome = accepted ? `accepted as revision ${revision}` : 'not accepted up to now';
     return `${outcome} (change ${changeId})`;
@@ -83,18 +83,18 @@
   return [
     `dry run at revision ${revision}; nothing is changed`,
     'items:',
-    ...changes.map(changeLine),
+    ...changes.map(formatItemChange),
     'policy in force:',
     ...(effects.length > 0 ? effectLines : noEffect),
   ].join('\n');
 }
 
-/** The audit trail, oldest first. */
-export function renderAudit(answer: unknown): string {
-  const { records, complete } = answer as { records: readonly AuditRecord[]; complete: boolean };
+/** Formats the audit trail, oldest first. */
+export function renderAudit(response: unknown): string {
+  const { records, complete } = response as { records: readonly AuditRecord[]; complete: boolean };
   const lines = records.flatMap(({ revision, at, author, action, reason, outcome, changes }) => [
     `${revision}  ${new Date(at).toISOString()}  ${author}  ${action}: ${reason} (${outcome})`,
-    ...changes.map(changeLine),
+    ...changes.map(formatItemChange),
   ]);
   return [...lines, ...(complete ? [] : ['older records are out of reach'])].join('\n');
 }
@@ -108,14 +108,14 @@
   readonly expiresAt?: number;
 }
 
-/** The exceptions, or the outcome of a change of them. */
-export function renderExceptions(answer: unknown): string {
-  if (!Array.isArray(answer)) return renderChange(answer);
+/** Formats the exceptions, or the outcome of a change to them. */
+export function renderExceptions(response: unknown): string {
+  if (!Array.isArray(response)) return renderChange(response);
   const pairs = (value: Readonly<Record<string, unknown>>): string =>
     Object.entries(value)
       .map(([key, item]) => `${key}=${String(item)}`)
       .join(' ');
-  const rows = (answer as readonly Exception[]).map((item) => [
+  const rows = (response as readonly Exception[]).map((item) => [
     item.id,
     pairs(item.scope),
     pairs(item.policy),
@@ -123,10 +123,10 @@
     item.expiresAt ? new Date(item.expiresAt).toISOString() : 'never',
     item.reason,
   ]);
-  return table([['ID', 'SCOPE', 'POLICY', 'AUTHOR', 'EXPIRES', 'REASON'], ...rows]);
+  return formatTable([['ID', 'SCOPE', 'POLICY', 'AUTHOR', 'EXPIRES', 'REASON'], ...rows]);
 }
 
-interface StatusAnswer {
+interface StatusResponse {
   readonly instance: string;
   readonly revision: number;
   readonly dataCentres: Readonly<Record<string, { readonly state: string }>>;
@@ -141,9 +141,9 @@
   }[];
 }
 
-/** What one entry knows of data centres and agents. */
-export function renderStatus(answer: unknown): string {
-  const { instance, revision, dataCentres, members } = answer as StatusAnswer;
+/** Formats an entry's view of data centres and agents. */
+export function renderStatus(response: unknown): string {
+  const { instance, revision, dataCentres, members } = response as StatusResponse;
   const centres = Object.entries(dataCentres).map(([name, { state }]) => `${name} ${state}`);
   const rows = members.map(({ name, dataCentre, service, leaving, inFlight, limit, queued }) => [
     name,
@@ -155,6 +155,6 @@
   ]);
   return [
     `${instance}: configuration ${revision}; data centres: ${centres.join(', ')}`,
-    table([['AGENT', 'DATA CENTRE', 'SERVICE', 'STATE', 'RUNNING', 'QUEUED'], ...rows]),
+    formatTable([['AGENT', 'DATA CENTRE', 'SERVICE', 'STATE', 'RUNNING', 'QUEUED'], ...rows]),
   ].join('\n');
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** The operators' command; what tests use of it. */
-export * from './explanation.js';
+/** Parts of the operators' command-line tool that tests use. */
+export * from './requestTimeline.js';
 export * from './operatorClient.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -10,12 +10,12 @@
   onShutdown,
   parseSettings,
   readSettingsText,
-  roleOf,
+  parseRole,
 } from '@laburnumstream/runtime';
 import type { ChangeMode } from './command.js';
 import { explain } from './commands/explainCommand.js';
 import { operatorCommands } from './commands/operatorCommands.js';
-import { indented } from './commands/rendering.js';
+import { formatJson } from './commands/rendering.js';
 import { OperatorClient } from './operatorClient.js';
 
 const addressVariable = 'LABURNUMSTREAM_ADDRESS';
@@ -75,18 +75,18 @@
   const settings = parseSettings('entry', file, readSettingsText(file));
   const logs = new LoggerFactory(settings.instance, settings.log.level);
   const entry = new Entry(settings, logs);
-  onShutdown(() => entry.stop(), settings.options.shutdownMs, logs.part('process'));
+  onShutdown(() => entry.stop(), settings.options.shutdownMs, logs.forComponent('process'));
   onReload(() => {
     const { secrets } = parseSettings('entry', file, readSettingsText(file));
     entry.replaceSecrets(secrets);
-  }, logs.part('process'));
+  }, logs.forComponent('process'));
   await entry.start();
 }
 
 function checkSettings(file: string | undefined): void {
   if (!file) throw new InvalidSettings('The argument FILE is missing.');
   const text = readSettingsText(file);
-  const role = roleOf(file, text);
+  const role = parseRole(file, text);
   parseSettings(role, file, text);
   process.stdout.write(`${file}: valid settings of an ${role}\n`);
 }
@@ -101,13 +101,13 @@
   const address = values.address ?? process.env[addressVariable] ?? 'http://127.0.0.1:8081';
   const client = new OperatorClient(address, values.token ?? process.env[tokenVariable] ?? '');
   const { reason = '', json = false, wait = false, since, limit } = values;
-  const mode = changeModeOf(values);
+  const mode = toChangeMode(values);
   const result = await command.run({ positionals, client, reason, wait, mode, since, limit });
-  const text = json ? JSON.stringify(result) : (command.render ?? indented)(result);
+  const text = json ? JSON.stringify(result) : (command.render ?? formatJson)(result);
   process.stdout.write(`${text}\n`);
 }
 
-function changeModeOf(values: ReturnType<typeof parse>['values']): ChangeMode {
+function toChangeMode(values: ReturnType<typeof parse>['values']): ChangeMode {
   const ifRevision = values['if-revision'];
   if (ifRevision !== undefined && !/^\d+$/.test(ifRevision)) {
     throw new InvalidInput('--if-revision: expected a whole number');
@@ -144,6 +144,6 @@
 main().catch((error: unknown) => {
   const failure = toFailure(error);
   process.stderr.write(`${failure.type}: ${failure.message}\n`);
-  const usageFault = failure instanceof InvalidInput || failure instanceof InvalidSettings;
-  process.exit(usageFault ? ExitCode.usage : ExitCode.failure);
+  const isUsageError = failure instanceof InvalidInput || failure instanceof InvalidSettings;
+  process.exit(isUsageError ? ExitCode.usage : ExitCode.failure);
 });
--- a/packages/cli/src/operatorClient.ts
+++ b/packages/cli/src/operatorClient.ts
@@ -1,12 +1,16 @@
 import { Failure } from '@laburnumstream/common';
 import { request } from 'undici';
 
-/** A failure that the administration API answered. */
+/** Body of an error response of the administration API. */
 interface FailureBody {
   readonly error?: { readonly type?: string; readonly message?: string };
 }
 
-function unreachable(baseUrl: string, body: object | undefined, error: unknown): Failure {
+function createUnreachableFailure(
+  baseUrl: string,
+  body: object | undefined,
+  error: unknown,
+): Failure {
   const { changeId } = (body ?? {}) as { readonly changeId?: string };
   const advice = changeId
     ? `; it is unknown whether the change was accepted: resend it with --change-id ${changeId}`
@@ -14,24 +18,24 @@
   return new Failure('unreachable', `${baseUrl} gave no answer (${String(error)})${advice}`);
 }
 
-/** Calls the administration API of one entry. */
+/** Client of an entry's administration API. */
 export class OperatorClient {
   constructor(
     private readonly baseUrl: string,
     private readonly token: string,
   ) {}
 
-  /** Sends a call; throws the typed failure that the API answers. */
+  /** Sends a request; throws the failure described by an error response. */
   async call(method: 'GET' | 'POST' | 'DELETE', path: string, body?: object): Promise<unknown> {
-    const { statusCode, body: answer } = await request(`${this.baseUrl}/admin/v1/${path}`, {
+    const { statusCode, body: response } = await request(`${this.baseUrl}/admin/v1/${path}`, {
       method,
       headers: { authorization: `Bearer ${this.token}`, 'content-type': 'application/json' },
       body: body ? JSON.stringify(body) : null,
     }).catch((error: unknown) => {
-      throw unreachable(this.baseUrl, body, error);
+      throw createUnreachableFailure(this.baseUrl, body, error);
     });
-    const value = await answer.json().catch((error: unknown) => {
-      throw unreachable(this.baseUrl, body, error);
+    const value = await response.json().catch((error: unknown) => {
+      throw createUnreachableFailure(this.baseUrl, body, error);
     });
     if (statusCode === 200) return value;
     const { error } = value as FailureBody;
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,4 @@
-/** Platform-neutral core that every other package may import. */
+/** Platform-neutral types and utilities shared by all packages. */
 export * from './asyncQueue.js';
 export * from './chart.js';
 export * from './failures.js';
@@ -10,5 +10,5 @@
 export * from './seededRandom.js';
 export * from './services.js';
 export * from './sleepAwareClock.js';
-export * from './timeLimit.js';
+export * from './timeoutSignal.js';
 export * from './pauseDetector.js';
--- a/packages/decisions/src/forwarding/engineModel.ts
+++ b/packages/decisions/src/forwarding/engineModel.ts
@@ -28,7 +28,12 @@
   private readonly usualContextTokens: number;
 
   constructor(private readonly profile: EngineProfile) {
-    const { slots, stride, usualPromptTokens, usualAnswerTokens } = profile;
+    const {
+      slots,
+      stepsPerPass: stride,
+      typicalPromptTokens: usualPromptTokens,
+      typicalOutputTokens: usualAnswerTokens,
+    } = profile;
     this.slots = slots;
     this.usualContextTokens = usualPromptTokens + usualAnswerTokens / 2;
     const passes = Math.max(1, usualAnswerTokens / stride);
@@ -37,7 +42,8 @@
 
   /** Size class of a request, by its work relative to a usual request. */
   sizeClass(promptTokens: number, answerTokens: number): string {
-    const { usualPromptTokens, usualAnswerTokens } = this.profile;
+    const { typicalPromptTokens: usualPromptTokens, typicalOutputTokens: usualAnswerTokens } =
+      this.profile;
     const usual = this.workMs(usualPromptTokens, usualAnswerTokens);
     const factor = this.workMs(promptTokens, answerTokens) / usual;
     return sizeClasses.find(({ below }) => factor < below)!.name;
@@ -50,32 +56,40 @@
 
   /** Time of one decode pass over a batch of requests. */
   passMs(batchSize: number): number {
-    const { stride, stepMs, stepMsPerSequence, stepMsPerThousandTokens } = this.profile;
+    const {
+      stepsPerPass: stride,
+      stepMs,
+      stepMsPerSequence,
+      stepMsPerThousandTokens,
+    } = this.profile;
     const contextMs = ((batchSize * this.usualContextTokens) / thousand) * stepMsPerThousandTokens;
     return stride * (stepMs + batchSize * stepMsPerSequence + contextMs);
   }
 
   /** Prefill time of a prompt. */
   prefillMs(tokens: number): number {
-    const { readTokensPerSecond, readMsPerMillionPairs } = this.profile;
+    const {
+      prefillTokensPerSecond: readTokensPerSecond,
+      prefillMsPerMillionPairs: readMsPerMillionPairs,
+    } = this.profile;
     const pairs = (tokens * tokens) / 2;
     return (tokens / readTokensPerSecond) * secondMs + (pairs / million) * readMsPerMillionPairs;
   }
 
   /** Number of usual prompts that can be prefilled in a time; at least 1. */
   promptsWithin(ms: number): number {
-    return Math.max(1, Math.floor(ms / this.prefillMs(this.profile.usualPromptTokens)));
+    return Math.max(1, Math.floor(ms / this.prefillMs(this.profile.typicalPromptTokens)));
   }
 
   /** Time to generate an answer in a full batch, including the prefill of other requests. */
   generationMs(answerTokens: number): number {
-    const passes = answerTokens / this.profile.stride;
+    const passes = answerTokens / this.profile.stepsPerPass;
     return passes * this.passMs(this.slots) * prefillOverhead;
   }
 
   /** Engine time that a request costs, with its share of a full batch. */
   workMs(promptTokens: number, answerTokens: number): number {
-    const passes = Math.max(1, answerTokens / this.profile.stride);
+    const passes = Math.max(1, answerTokens / this.profile.stepsPerPass);
     return this.prefillMs(promptTokens) + (passes * this.passMs(this.slots)) / this.slots;
   }
 
--- a/packages/entry/src/operatorAuthentication.ts
+++ b/packages/entry/src/operatorAuthentication.ts
@@ -2,7 +2,7 @@
 import { Unauthenticated } from '@laburnumstream/common';
 import { OperatorRole, hasUnlimitedOperator } from '@laburnumstream/decisions';
 import type { Configuration, Operator } from '@laburnumstream/decisions';
-import { bearerToken, sameSecret, sha256 } from '@laburnumstream/runtime';
+import { getBearerToken, isSameSecret, sha256 } from '@laburnumstream/runtime';
 
 const bootstrapPrefix = 'bootstrap/';
 
@@ -31,13 +31,13 @@
   configuration: Configuration,
   bootstrap: Readonly<Record<string, string>>,
 ): AuthenticatedOperator {
-  const hash = sha256(bearerToken(request));
+  const hash = sha256(getBearerToken(request));
   const configured = Object.entries(configuration.operators).find(([, { tokenHashes }]) =>
-    tokenHashes.some((tokenHash) => sameSecret(tokenHash, hash)),
+    tokenHashes.some((tokenHash) => isSameSecret(tokenHash, hash)),
   );
   if (configured) return { name: configured[0], operator: configured[1] };
   const bootstrapped = Object.entries(bootstrap).find(([, tokenHash]) =>
-    sameSecret(tokenHash, hash),
+    isSameSecret(tokenHash, hash),
   );
   if (!bootstrapped || hasUnlimitedOperator(configuration)) throw new Unauthenticated();
   const name = `${bootstrapPrefix}${bootstrapped[0]}`;
--- a/packages/entry/src/partialResponse.ts
+++ b/packages/entry/src/partialResponse.ts
@@ -1,5 +1,5 @@
 import { Corrupted } from '@laburnumstream/common';
-import type { PlainAnswer } from '@laburnumstream/common';
+import type { PlainResponse } from '@laburnumstream/common';
 import { ResponseAssembler, callResponseDigest } from '@laburnumstream/decisions';
 import type { End } from '@laburnumstream/protocol';
 import { sha256 } from '@laburnumstream/runtime';
@@ -11,7 +11,7 @@
 
   private weightsDigest = '';
 
-  private callResponse: PlainAnswer | undefined;
+  private callResponse: PlainResponse | undefined;
 
   /** Digest of the weights that generated the tokens so far; empty before the first token. */
   get weights(): string {
@@ -24,7 +24,7 @@
   }
 
   /** Stores the response of a plain service until the end frame confirms it. */
-  setCallResponse(callResponse: PlainAnswer): void {
+  setCallResponse(callResponse: PlainResponse): void {
     this.callResponse = callResponse;
   }
 
--- a/packages/forwarding/src/agentLinks.ts
+++ b/packages/forwarding/src/agentLinks.ts
@@ -162,7 +162,7 @@
     const handle = this.directory.findByAddress(report.address);
     if (
       !handle ||
-      (handle.endpoint.bornAt !== 0 && handle.endpoint.bornAt !== Number(report.bornAt))
+      (handle.endpoint.startedAt !== 0 && handle.endpoint.startedAt !== Number(report.bornAt))
     )
       return;
     const now = this.clock.now();
--- a/packages/forwarding/src/callerServer.ts
+++ b/packages/forwarding/src/callerServer.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { NotFound, Repetition, TooLarge, Unauthenticated, toFailure } from '@laburnumstream/common';
+import { NotFound, RouteKind, TooLarge, Unauthenticated, toFailure } from '@laburnumstream/common';
 import type {
   Clock,
   Failure,
@@ -73,7 +73,7 @@
   constructor(
     private readonly state: FleetState,
     private readonly freshness: FreshnessChecks,
-    private readonly forwarders: Readonly<Record<Repetition, RequestForwarder>>,
+    private readonly forwarders: Readonly<Record<RouteKind, RequestForwarder>>,
     private readonly codec: HeaderCodec,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -162,7 +162,7 @@
         deadlineAt,
         signal,
       };
-      await this.forwarders[route.repetition].forward(exchange);
+      await this.forwarders[route.kind].forward(exchange);
       this.counter.countForwarded(exchange);
     } catch (error) {
       this.handleFailure(request, response, head, route, controller.signal, error);
@@ -182,7 +182,7 @@
 
   /** Returns the workspace of the request's key; undefined if no key is required. */
   private authenticate(routes: RouteTable, route: Route, head: RequestHead): Workspace | undefined {
-    if (route.isPublic || !routes.configuration.needsKeys) return undefined;
+    if (route.isPublic || !routes.configuration.requiresKeys) return undefined;
     // A known key may have been revoked since, and an unknown one may have been added.
     if (!this.freshness.mayAcceptKeys()) {
       const ageMs = Math.round(this.freshness.ageMs());
@@ -227,7 +227,7 @@
       execution,
       path: request.url,
       route: route?.name ?? null,
-      isRepeatable: route === undefined || route.repetition !== Repetition.nonIdempotent,
+      isRepeatable: route === undefined || route.kind !== RouteKind.nonIdempotent,
       configuration: this.state.routes?.configuration.version ?? null,
       proofAgeMs: Math.round(this.freshness.ageMs()),
       retryAfterMs: retryAfterMs === undefined ? null : Math.round(retryAfterMs),
--- a/packages/forwarding/src/endpointDirectory.ts
+++ b/packages/forwarding/src/endpointDirectory.ts
@@ -65,7 +65,7 @@
     this.handles.forEach((handle, id) => {
       const endpoint = endpoints.get(id);
       if (
-        endpoint?.bornAt === handle.endpoint.bornAt &&
+        endpoint?.startedAt === handle.endpoint.startedAt &&
         endpoint.address === handle.endpoint.address
       )
         return;
@@ -191,7 +191,7 @@
     });
   }
 
-  private extendColdStart(handle: EndpointHandle, { coldLeftMs }: Endpoint): void {
+  private extendColdStart(handle: EndpointHandle, { coldRemainingMs: coldLeftMs }: Endpoint): void {
     if (coldLeftMs <= 0) return;
     Object.assign(handle, {
       coldUntil: Math.max(handle.coldUntil, this.clock.now() + coldLeftMs),
@@ -248,12 +248,12 @@
       !handle.load.hasCapacity({ ...engineQueueLimits, slots: handle.slots }, now)
     )
       return false;
-    if (now >= coldUntil || !profile || profile.coldPerSecond <= 0) return true;
+    if (now >= coldUntil || !profile || profile.coldRequestsPerSecond <= 0) return true;
     return coldRate.allows(this.getColdRateShare(handle), now);
   }
 
   /** Returns the requests per second that this entry may send to an endpoint during its cold start. */
   private getColdRateShare({ profile }: EndpointHandle): number {
-    return (profile?.coldPerSecond ?? 0) / this.entryCounts.forColdEndpoints;
+    return (profile?.coldRequestsPerSecond ?? 0) / this.entryCounts.forColdEndpoints;
   }
 }
--- a/packages/forwarding/src/fleetChange.ts
+++ b/packages/forwarding/src/fleetChange.ts
@@ -1,6 +1,6 @@
 import type {
   Endpoint,
-  EntryPlace,
+  EntryLocation,
   FleetConfiguration,
   NamedVersion,
   StoreChange,
@@ -13,7 +13,7 @@
   | { readonly kind: 'evacuation'; readonly dataCentre: string; readonly isActive: boolean }
   | { readonly kind: 'version'; readonly named: NamedVersion }
   /** `location` is undefined when the entry is no longer registered. */
-  | { readonly kind: 'entry'; readonly name: string; readonly location: EntryPlace | undefined };
+  | { readonly kind: 'entry'; readonly name: string; readonly location: EntryLocation | undefined };
 
 /** Encodes and decodes the keys and values of the store. */
 export interface FleetCodec {
@@ -22,7 +22,7 @@
   /** The key under which an entry registers itself. */
   entryKey(name: string): string;
   /** Encodes the value that an entry registers. */
-  encodeEntry(location: EntryPlace): string;
+  encodeEntry(location: EntryLocation): string;
   /** Returns undefined for keys that do not concern entries; throws `InvalidInput` for invalid values. */
   decode(change: StoreChange): FleetChange | undefined;
 }
--- a/packages/forwarding/src/fleetState.ts
+++ b/packages/forwarding/src/fleetState.ts
@@ -1,4 +1,4 @@
-import type { Endpoint, EntryPlace, Log, Metrics } from '@laburnumstream/common';
+import type { Endpoint, EntryLocation, Log, Metrics } from '@laburnumstream/common';
 import { NamedVersions, RouteTable } from '@laburnumstream/decisions';
 import type { FleetChange } from './fleetChange.js';
 
@@ -35,7 +35,7 @@
   private readonly namedVersionsByModel = new Map<string, NamedVersions>();
 
   /** Locations of the registered entries, by name. */
-  private readonly locationsByEntry = new Map<string, EntryPlace>();
+  private readonly locationsByEntry = new Map<string, EntryLocation>();
 
   /** Number of registered entries, by data centre. */
   private readonly entriesByDataCentre = new Map<string, number>();
@@ -67,7 +67,7 @@
   }
 
   /** Locations of the registered entries, by name. */
-  get entryLocations(): ReadonlyMap<string, EntryPlace> {
+  get entryLocations(): ReadonlyMap<string, EntryLocation> {
     return this.locationsByEntry;
   }
 
@@ -160,7 +160,7 @@
       isDraining,
       version: layers?.version ?? 0,
       layers: layers ? layers.to - layers.from : 0,
-      isNew: known === undefined || known.bornAt !== endpoint.bornAt,
+      isNew: known === undefined || known.startedAt !== endpoint.startedAt,
     });
     this.notifyChange();
   }
@@ -190,7 +190,7 @@
     this.notifyChange();
   }
 
-  setEntry(name: string, location: EntryPlace | undefined): void {
+  setEntry(name: string, location: EntryLocation | undefined): void {
     const known = this.locationsByEntry.get(name);
     if (known) this.adjustEntryCount(known.dataCentre, -1);
     if (location) this.adjustEntryCount(location.dataCentre, 1);
--- a/packages/forwarding/src/forwardingEntry.ts
+++ b/packages/forwarding/src/forwardingEntry.ts
@@ -1,4 +1,4 @@
-import { Repetition, SleepAwareClock } from '@laburnumstream/common';
+import { RouteKind, SleepAwareClock } from '@laburnumstream/common';
 import type {
   Clock,
   ForwarderSettings,
@@ -120,7 +120,7 @@
       store,
       fleetCodec.entryKey(settings.instance),
       fleetCodec.encodeEntry(settings),
-      Math.max(minLeaseMs, settings.store.shortestLeaseMs),
+      Math.max(minLeaseMs, settings.store.minLeaseMs),
       clock,
       metrics,
       log('registration'),
@@ -141,12 +141,12 @@
       log: log('requests'),
     };
     const forwarders = {
-      [Repetition.idempotent]: new BufferedForwarder(services, true),
-      [Repetition.nonIdempotent]: new BufferedForwarder(services, false),
-      [Repetition.stream]: new StreamForwarder(services),
+      [RouteKind.idempotent]: new BufferedForwarder(services, true),
+      [RouteKind.nonIdempotent]: new BufferedForwarder(services, false),
+      [RouteKind.stream]: new StreamForwarder(services),
     };
     const freshness = {
-      mayAcceptKeys: () => !bounds.refusesWithoutProof || proof.mayAcceptKeys(proofClock.now()),
+      mayAcceptKeys: () => !bounds.failsClosed || proof.mayAcceptKeys(proofClock.now()),
       mayReportMissing: () => proof.mayReportMissing(proofClock.now()),
       ageMs: () => proof.ageMs(proofClock.now()),
     };
@@ -163,12 +163,12 @@
     const { state, directory, queue, callers } = this;
     const { budget } = services;
     const parts = { state, directory, queue, callers, budget, freshness, clock };
-    metrics.sample(() => entryGauges(parts));
+    metrics.registerGauges(() => entryGauges(parts));
   }
 
   /** Starts serving; resolves when all servers are listening. */
   async start(signal: AbortSignal): Promise<void> {
-    const { callers, readiness } = this.dependencies.settings;
+    const { callerAddress: callers, readinessAddress: readiness } = this.dependencies.settings;
     const ready = parseAddress(readiness);
     void this.watcher.run(signal);
     void this.agents.run(signal);
--- a/packages/forwarding/src/requestAttempts.ts
+++ b/packages/forwarding/src/requestAttempts.ts
@@ -183,11 +183,12 @@
   private getGoalAt(): number {
     const { route, arrivedAt } = this.exchange;
     const { retryingSince } = this;
-    const firstGoalAt = arrivedAt + route.goalMs;
+    const firstGoalAt = arrivedAt + route.latencyTargetMs;
     if (retryingSince === undefined) return firstGoalAt;
     return Math.max(
       firstGoalAt,
-      retryingSince + (this.isMoving ? moveWaitMs : (route.pauseGoalMs ?? route.goalMs)),
+      retryingSince +
+        (this.isMoving ? moveWaitMs : (route.eventGapTargetMs ?? route.latencyTargetMs)),
     );
   }
 
--- a/packages/forwarding/src/streamSession.ts
+++ b/packages/forwarding/src/streamSession.ts
@@ -146,7 +146,7 @@
       sends: this.attempts.sendCount,
       firstEventMs: Math.round(firstEventMs),
       longestPauseMs: Math.round(maxGapMs),
-      goalMs: route.goalMs,
+      goalMs: route.latencyTargetMs,
       lastEventId: lastEventId ?? null,
     });
   }
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,12 +1,12 @@
-/** What every process needs around the decision logic: settings, logs, metrics, servers, lifecycles. */
+/** Process infrastructure: settings, logging, metrics, HTTP servers, lifecycles and shutdown. */
 export * from './charts.js';
 export * from './connector.js';
 export * from './digest.js';
 export * from './histogramMetrics.js';
 export * from './httpServer.js';
 export * from './lifecycle.js';
-export * from './lineBudget.js';
-export * from './lineOutput.js';
+export * from './logRateLimiter.js';
+export * from './lossyLineStream.js';
 export * from './logger.js';
 export * from './metricFamily.js';
 export * from './metricsServer.js';
--- a/packages/runtime/src/lifecycle.ts
+++ b/packages/runtime/src/lifecycle.ts
@@ -5,16 +5,16 @@
 
 const system = start();
 
-/** Handlers that run when a state is entered; a returned event goes to the chart next. */
+/** Handlers that run when a state is entered; the event that a handler returns is sent next. */
 export type StateHandlers<Event extends string> = Readonly<
   Record<string, (signal: AbortSignal) => Promise<Event | undefined> | undefined>
 >;
 
-let spawned = 0;
+let actorCount = 0;
 
 /**
- * An actor that walks through a state chart. Each state's handler runs with a signal that fires when
- * the state is left or the owner's signal fires.
+ * An actor that runs a statechart. Each state's handler gets a signal that aborts when the state is
+ * left or the owner's signal aborts.
  */
 export class Lifecycle<Event extends string> {
   private current: string;
@@ -30,25 +30,25 @@
     private readonly signal: AbortSignal,
   ) {
     this.current = chart.initial;
-    spawned += 1;
-    const receive = (state: string, event: Event): string => this.step(state, event);
-    const name = `${chart.name}-${spawned}`;
+    actorCount += 1;
+    const receive = (state: string, event: Event): string => this.handleEvent(state, event);
+    const name = `${chart.name}-${actorCount}`;
     this.actor = spawn(system, receive, name, { initialState: chart.initial });
     signal.addEventListener('abort', () => this.end(), { once: true });
     this.enter(chart.initial);
   }
 
-  /** The present state. */
+  /** The current state. */
   get state(): string {
     return this.current;
   }
 
-  /** Sends an event to the actor; events that the state does not accept are logged and dropped. */
+  /** Sends an event to the actor; events that the current state does not accept are logged and dropped. */
   send(event: Event): void {
     if (!this.signal.aborted) dispatch(this.actor, event);
   }
 
-  private step(state: string, event: Event): string {
+  private handleEvent(state: string, event: Event): string {
     if (!this.chart.accepts(state, event)) {
       this.log.debug('Event not accepted.', { state, event });
       return state;
@@ -64,10 +64,10 @@
   private enter(state: string): void {
     this.stateAbort = new AbortController();
     const { signal } = this.stateAbort;
-    void this.run(state, signal);
+    void this.runHandler(state, signal);
   }
 
-  private async run(state: string, signal: AbortSignal): Promise<void> {
+  private async runHandler(state: string, signal: AbortSignal): Promise<void> {
     try {
       const event = await this.handlers[state]?.(signal);
       if (event && !signal.aborted) this.send(event);
--- a/packages/runtime/src/logger.ts
+++ b/packages/runtime/src/logger.ts
@@ -1,30 +1,30 @@
 import type { Log, Metrics } from '@laburnumstream/common';
 import { createLogger, format, transports } from 'winston';
-import { LineBudget } from './lineBudget.js';
-import { LineOutput } from './lineOutput.js';
-import type { LineSink } from './lineOutput.js';
+import { LogRateLimiter } from './logRateLimiter.js';
+import { LossyLineStream } from './lossyLineStream.js';
+import type { LineSink } from './lossyLineStream.js';
 
-/** Time between two reports on lines that were left out, in milliseconds. */
-const reportMs = 1_000;
+/** Interval between reports of suppressed lines, in milliseconds. */
+const reportIntervalMs = 1_000;
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Metrics of a process that keeps none. */
+/** No-op metrics. */
 const noMetrics: Metrics = {
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
-  sample: () => undefined,
+  registerGauges: () => undefined,
 };
 
 /**
- * Makes loggers for the parts of one process, which write JSON lines to standard output. The number
- * of lines of each kind is bounded; only those on requests that may not be repeated always pass.
+ * Creates loggers for the components of a process, which write JSON lines to standard output. Lines
+ * are rate limited per message, except those about non-retryable requests, which are always written.
  */
 export class LoggerFactory {
   private readonly logger;
 
-  private readonly budget = new LineBudget();
+  private readonly rateLimiter = new LogRateLimiter();
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -34,7 +34,7 @@
     private readonly metrics: Metrics = noMetrics,
     sink: LineSink = process.stdout,
   ) {
-    const stream = new LineOutput(sink, metrics);
+    const stream = new LossyLineStream(sink, metrics);
     this.logger = createLogger({
       level,
       format: format.combine(format.timestamp(), format.json()),
@@ -42,12 +42,13 @@
     });
   }
 
-  /** A logger whose messages start with the part's name. */
-  part(part: string): Log {
+  /** Returns a logger whose messages start with the component's name. */
+  forComponent(component: string): Log {
     const write =
       (level: string) =>
       (message: string, fields: Fields = {}): void => {
-        if (this.logger.isLevelEnabled(level)) this.write(level, `${part}: ${message}`, fields);
+        if (this.logger.isLevelEnabled(level))
+          this.write(level, `${component}: ${message}`, fields);
       };
     return {
       debug: write('debug'),
@@ -58,23 +59,23 @@
   }
 
   private write(level: string, message: string, fields: Fields): void {
-    const mustStay = fields.isRepeatable === false;
-    if (!mustStay && !this.budget.takes(message, performance.now())) {
+    const isExempt = fields.isRepeatable === false;
+    if (!isExempt && !this.rateLimiter.tryAcquire(message, performance.now())) {
       this.metrics.count('log_lines_left_out', { kind: message });
-      this.reportSoon();
+      this.scheduleReport();
       return;
     }
     this.metrics.count('log_lines', { level });
     this.logger.log({ level, message, instance: this.instance, ...fields });
   }
 
-  /** Writes one line for all kinds of which lines were left out. */
-  private reportSoon(): void {
+  /** Schedules one line that reports the suppressed lines of all kinds. */
+  private scheduleReport(): void {
     this.timer ??= setTimeout(() => {
       this.timer = undefined;
-      const kinds = this.budget.takeLeftOut();
+      const kinds = this.rateLimiter.takeSuppressed();
       const { instance } = this;
       this.logger.log({ level: 'warn', message: 'log: Lines left out.', instance, kinds });
-    }, reportMs).unref();
+    }, reportIntervalMs).unref();
   }
 }
--- a/packages/runtime/src/lineOutput.ts
+++ b/packages/runtime/src/lossyLineStream.ts
@@ -1,18 +1,18 @@
 import { Writable } from 'node:stream';
 import type { Metrics } from '@laburnumstream/common';
 
-/** Bytes that may wait for a slow reader. */
-const mostWaitingBytes = 1_048_576;
+/** Maximum bytes buffered in the sink for a slow reader. */
+const maxBufferedBytes = 1_048_576;
 
-/** The part of a stream that lines are written to. */
+/** The subset of a writable stream that lines are written to. */
 export interface LineSink {
-  /** Bytes that the reader has not taken. */
+  /** Bytes buffered and not yet read. */
   readonly writableLength: number;
   write(line: string | Uint8Array): boolean;
 }
 
-/** Writes lines without ever waiting for their reader: lines beyond what may wait are lost. */
-export class LineOutput extends Writable {
+/** Writes lines without backpressure: lines are dropped while the sink's buffer is full. */
+export class LossyLineStream extends Writable {
   constructor(
     private readonly sink: LineSink,
     private readonly metrics: Metrics,
@@ -25,7 +25,7 @@
     _encoding: BufferEncoding,
     done: (error?: Error | null) => void,
   ): void {
-    if (this.sink.writableLength > mostWaitingBytes) this.metrics.count('log_lines_lost');
+    if (this.sink.writableLength > maxBufferedBytes) this.metrics.count('log_lines_lost');
     else this.sink.write(line);
     done();
   }
--- a/packages/runtime/src/pauseGuard.ts
+++ b/packages/runtime/src/pauseGuard.ts
@@ -1,61 +1,61 @@
 import { PauseDetector, toFailure } from '@laburnumstream/common';
 import type { Clock, Log } from '@laburnumstream/common';
 
-const lookMs = 250;
+const checkIntervalMs = 250;
 
-/** Checks again what the process knew after it stood still; returns when that is done. */
-export type Recheck = (gapMs: number) => Promise<void>;
+/** Revalidates the state of the process after a pause of `gapMs`. */
+export type Revalidation = (gapMs: number) => Promise<void>;
 
-/** Keeps a process that stood still from acting on what it knew before, until it has checked. */
+/** Prevents a process that was paused from acting on stale state until that has been revalidated. */
 export class PauseGuard {
   private readonly detector: PauseDetector;
 
-  private checking: Promise<void> | undefined;
+  private pendingRevalidation: Promise<void> | undefined;
 
   constructor(
     private readonly clock: Clock,
     limitMs: number,
-    private readonly recheck: Recheck,
+    private readonly revalidate: Revalidation,
     private readonly log: Log,
   ) {
     this.detector = new PauseDetector(clock.now(), clock.wall(), limitMs);
   }
 
-  /** Whether the process may act on what it knows. Looks at the clocks: cheap enough for each request. */
+  /** Whether the process may act on its state. Checks the clocks; cheap enough for every request. */
   isSettled(): boolean {
-    const { paused, gapMs } = this.detector.look(this.clock.now(), this.clock.wall());
-    if (paused) this.startCheck(gapMs);
-    return this.checking === undefined;
+    const { paused, gapMs } = this.detector.check(this.clock.now(), this.clock.wall());
+    if (paused) this.startRevalidation(gapMs);
+    return this.pendingRevalidation === undefined;
   }
 
-  /** Resolves when the process may act on what it knows. */
-  async settled(): Promise<void> {
-    if (!this.isSettled()) await this.checking;
+  /** Resolves when the process may act on its state. */
+  async waitUntilSettled(): Promise<void> {
+    if (!this.isSettled()) await this.pendingRevalidation;
   }
 
-  /** Looks at the clocks until the signal fires. */
+  /** Checks the clocks periodically until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.isSettled();
-      await this.clock.sleep(lookMs, signal).catch(() => undefined);
+      await this.clock.sleep(checkIntervalMs, signal).catch(() => undefined);
     }
   }
 
-  private startCheck(gapMs: number): void {
-    this.log.warn('The process stood still.', { gapMs: Math.round(gapMs) });
-    const before = this.checking ?? Promise.resolve();
-    const checking = before.then(() => this.check(gapMs));
-    this.checking = checking;
-    void checking.then(() => {
-      if (this.checking === checking) this.checking = undefined;
+  private startRevalidation(gapMs: number): void {
+    this.log.warn('The process was paused.', { gapMs: Math.round(gapMs) });
+    const previous = this.pendingRevalidation ?? Promise.resolve();
+    const pending = previous.then(() => this.runRevalidation(gapMs));
+    this.pendingRevalidation = pending;
+    void pending.then(() => {
+      if (this.pendingRevalidation === pending) this.pendingRevalidation = undefined;
     });
   }
 
-  private async check(gapMs: number): Promise<void> {
+  private async runRevalidation(gapMs: number): Promise<void> {
     try {
-      await this.recheck(gapMs);
+      await this.revalidate(gapMs);
     } catch (error) {
-      this.log.warn('The check after a pause failed.', { type: toFailure(error).type });
+      this.log.warn('Revalidation after a pause failed.', { type: toFailure(error).type });
     }
   }
 }
--- a/packages/sidecar/src/engineMonitor.ts
+++ b/packages/sidecar/src/engineMonitor.ts
@@ -1,4 +1,4 @@
-import { timeLimit, toFailure } from '@laburnumstream/common';
+import { createTimeoutSignal, toFailure } from '@laburnumstream/common';
 import type { Clock, Log, Metrics } from '@laburnumstream/common';
 import type { EngineState, LocalEngine } from './localEngine.js';
 
@@ -45,7 +45,7 @@
   /** Polls once, independently of the regular interval. */
   async poll(signal: AbortSignal): Promise<void> {
     try {
-      const pollSignal = timeLimit(pollTimeoutMs, signal);
+      const pollSignal = createTimeoutSignal(pollTimeoutMs, signal);
       const state = await this.engine.getState(pollSignal);
       if (this.lastState && state.bornAt !== this.lastState.bornAt) {
         this.log.info('The engine has restarted.', { bornAt: state.bornAt });
--- a/packages/sidecar/src/sidecar.ts
+++ b/packages/sidecar/src/sidecar.ts
@@ -86,14 +86,14 @@
       () => this.reporter.report(),
     );
     this.reporter = new EngineReporter(
-      settings.endpoint,
+      settings.endpointAddress,
       this.monitor,
       () => this.updater.weightState,
       this.datagrams,
       clock,
     );
     const { view, monitor, updater } = this;
-    metrics.sample(() => sidecarGauges(view, monitor, updater, versions));
+    metrics.registerGauges(() => sidecarGauges(view, monitor, updater, versions));
   }
 
   /** Starts the agent; resolves when all sockets are bound. */
