--- a/bench/src/benches/coldStart.ts
+++ b/bench/src/benches/coldStart.ts
@@ -26,7 +26,7 @@
     }
     until.stop = true;
     await load;
-    const most = Math.max(...engines.map(({ mostWhileCold }) => mostWhileCold));
+    const most = Math.max(...engines.map(({ maxUnitsWhileCold: mostWhileCold }) => mostWhileCold));
     const crashes = engines.reduce((sum, { crashes: own }) => sum + own, 0);
     return [
       { name: 'most_work_over_bearable', value: most / loadEngine.coldCapacity },
--- a/bench/src/faults/faultActions.ts
+++ b/bench/src/faults/faultActions.ts
@@ -97,16 +97,16 @@
 }
 
 async function silenceLinks(context: FaultContext): Promise<void> {
-  pickEngine(context).relay?.set(RelayMode.silentOld);
+  pickEngine(context).relay?.setMode(RelayMode.silentExisting);
   await sleep(context.lastsMs);
-  pickEngine(context).relay?.set(RelayMode.open);
+  pickEngine(context).relay?.setMode(RelayMode.open);
 }
 
 async function cutLinks(context: FaultContext): Promise<void> {
   const { relay } = pickEngine(context);
-  relay?.set(RelayMode.cut);
+  relay?.setMode(RelayMode.cut);
   await sleep(context.lastsMs);
-  relay?.set(RelayMode.open);
+  relay?.setMode(RelayMode.open);
 }
 
 async function turnCold(context: FaultContext): Promise<void> {
--- a/bench/src/faults/faultRun.ts
+++ b/bench/src/faults/faultRun.ts
@@ -1,5 +1,5 @@
 import { SeededRandom } from '@laburnumstream/common';
-import { engineDefaults } from '@laburnumstream/standins';
+import { defaultEngineBehaviour } from '@laburnumstream/standins';
 import type { EngineStandIn } from '@laburnumstream/standins';
 import { Fleet } from '../fleet.js';
 import { small } from '../fleetShape.js';
@@ -11,7 +11,13 @@
 
 const model = 'assistant-model';
 const recoveryMs = 60_000;
-const engine = { ...engineDefaults, prefillMs: 5, tokenMs: 3, coldCapacity: 4, capacity: 24 };
+const engine = {
+  ...defaultEngineBehaviour,
+  prefillMs: 5,
+  tokenMs: 3,
+  coldCapacity: 4,
+  capacity: 24,
+};
 
 /** The outcome of one run. */
 export interface FaultOutcome {
@@ -24,7 +30,7 @@
 
 function coldOverload(engines: readonly EngineStandIn[]): number {
   const over = engines.map(
-    ({ mostWhileCold, behaviour }) => mostWhileCold - behaviour.coldCapacity,
+    ({ maxUnitsWhileCold: mostWhileCold, behaviour }) => mostWhileCold - behaviour.coldCapacity,
   );
   return Math.max(0, ...over);
 }
@@ -33,12 +39,12 @@
   const engines = fleet.agents.flatMap((agent) => agent.engine ?? []);
   return {
     orderRuns: fleet.agents.flatMap(({ plain }) => plain?.runs.map(({ body }) => body) ?? []),
-    contents: fleet.origin.contents(model),
+    contents: fleet.origin.getContentDigests(model),
     engineRuns: fleet.agents.flatMap((agent) =>
       (agent.engine?.runs ?? []).map((run) => ({ dataCentre: agent.centre.name, run })),
     ),
     coldOverload: coldOverload(engines),
-    serving: engines.map(({ serving }) => serving),
+    serving: engines.map(({ loadedDigest: serving }) => serving),
   };
 }
 
--- a/bench/src/faults/invariants.ts
+++ b/bench/src/faults/invariants.ts
@@ -1,4 +1,4 @@
-import { tokenOf } from '@laburnumstream/standins';
+import { computeToken } from '@laburnumstream/standins';
 import type { EngineRun } from '@laburnumstream/standins';
 import type { CompletionRecord, FaultHistory } from './faultHistory.js';
 
@@ -25,7 +25,7 @@
 type Invariant = (history: FaultHistory, observed: Observed) => string[];
 
 function matches(record: CompletionRecord, content: string): boolean {
-  return record.tokens.every((text, index) => text === tokenOf(content, record.prompt, index));
+  return record.tokens.every((text, index) => text === computeToken(content, record.prompt, index));
 }
 
 function wholeAnswers({ completions }: FaultHistory): string[] {
--- a/bench/src/fleet.ts
+++ b/bench/src/fleet.ts
@@ -12,7 +12,7 @@
   OriginStandIn,
   PlainStandIn,
   Relay,
-  engineDefaults,
+  defaultEngineBehaviour,
   makeContent,
 } from '@laburnumstream/standins';
 import type { EngineBehaviour, TokenBucket } from '@laburnumstream/standins';
@@ -264,7 +264,7 @@
   private async addAgent(service: ServiceShape, centre: CentreShape, number: number) {
     const name = `${service.name}-${centre.name}-${number}`;
     const [internal, weights] = await freePorts(2);
-    const behaviour = { ...engineDefaults, ...this.choices.engine };
+    const behaviour = { ...defaultEngineBehaviour, ...this.choices.engine };
     const isEngine = service.kind === 'engine';
     const engine = isEngine ? await new EngineStandIn(behaviour).start() : undefined;
     const plain = isEngine ? undefined : await new PlainStandIn().start();
--- a/bench/src/heavyDays/heavyDay.ts
+++ b/bench/src/heavyDays/heavyDay.ts
@@ -113,10 +113,10 @@
     const requests = heavyLoad(factor, seconds, this.random);
     const endAt = seconds * secondMs + tailMs;
     requests.forEach((request) =>
-      this.clock.at(request.arrivesAt, () => void this.ask(request, false)),
+      this.clock.schedule(request.arrivesAt, () => void this.ask(request, false)),
     );
-    for (let at = 0; at < endAt; at += reportMs) this.clock.at(at, () => this.report());
-    for (let at = 0; at < endAt; at += shareMs) this.clock.at(at, () => this.share());
+    for (let at = 0; at < endAt; at += reportMs) this.clock.schedule(at, () => this.report());
+    for (let at = 0; at < endAt; at += shareMs) this.clock.schedule(at, () => this.share());
     await this.clock.runUntil(endAt);
     return this.outcome(requests);
   }
--- a/bench/src/index.ts
+++ b/bench/src/index.ts
@@ -16,7 +16,7 @@
 export * from './weights/holderRun.js';
 export * from './weights/virtualTransfer.js';
 export * from './processUsage.js';
-export { readChoices } from './soak/arguments.js';
+export { parseSoakArguments } from './soak/arguments.js';
 export { SoakRun } from './soak/soakRun.js';
 export type { SoakReport } from './soak/soakRun.js';
 export * from './virtual/reverts.js';
--- a/bench/src/soak/arguments.ts
+++ b/bench/src/soak/arguments.ts
@@ -2,34 +2,34 @@
 import { parseArgs } from 'node:util';
 import { InvalidInput } from '@laburnumstream/common';
 import { soakFaults } from './faults.js';
-import type { SoakChoices } from './soakRun.js';
+import type { SoakOptions } from './soakRun.js';
 
 const builtPrograms = fileURLToPath(new URL('../../../platform/dist/', import.meta.url));
 
-/** Ranges of a soak's numbers, and what they are when nothing is said. */
-const numbers = {
-  seed: { least: 0, most: 2 ** 31 - 1, usual: 1 },
-  minutes: { least: 0.2, most: 240, usual: 2 },
-  processes: { least: 3, most: 240, usual: 5 },
+/** Ranges and defaults of the numeric flags. */
+const numberFlags = {
+  seed: { min: 0, max: 2 ** 31 - 1, default: 1 },
+  minutes: { min: 0.2, max: 240, default: 2 },
+  processes: { min: 3, max: 240, default: 5 },
 } as const;
 
-function numberOf(name: keyof typeof numbers, text: string | undefined): number {
-  const { least, most, usual } = numbers[name];
-  if (text === undefined) return usual;
+function parseNumber(name: keyof typeof numberFlags, text: string | undefined): number {
+  const { min, max, default: defaultValue } = numberFlags[name];
+  if (text === undefined) return defaultValue;
   const value = Number(text);
-  const isInRange = text.trim() !== '' && value >= least && value <= most;
+  const isInRange = text.trim() !== '' && value >= min && value <= max;
   if (isInRange && (name === 'minutes' || Number.isInteger(value))) return value;
-  throw new InvalidInput(`--${name}: expected a number from ${least} to ${most}, found "${text}"`);
+  throw new InvalidInput(`--${name}: expected a number from ${min} to ${max}, found "${text}"`);
 }
 
-function faultsOf(text: string | undefined): string[] {
+function parseFaults(text: string | undefined): string[] {
   const kinds = text?.split(',') ?? [];
   const unknown = kinds.find((kind) => !(kind in soakFaults));
   if (unknown === undefined) return kinds;
   throw new InvalidInput(`--faults: "${unknown}" is none of ${Object.keys(soakFaults).join(', ')}`);
 }
 
-function parse(args: readonly string[]): Record<string, string | undefined> {
+function parseFlags(args: readonly string[]): Record<string, string | undefined> {
   try {
     const { values } = parseArgs({
       args: [...args],
@@ -47,14 +47,14 @@
   }
 }
 
-/** Reads what a soak is to do; throws `InvalidInput`. */
-export function readChoices(args: readonly string[]): SoakChoices {
-  const values = parse(args);
+/** Parses the command line arguments of a soak; throws `InvalidInput`. */
+export function parseSoakArguments(args: readonly string[]): SoakOptions {
+  const values = parseFlags(args);
   return {
-    seed: numberOf('seed', values.seed),
-    minutes: numberOf('minutes', values.minutes),
-    processes: numberOf('processes', values.processes),
-    faults: faultsOf(values.faults),
+    seed: parseNumber('seed', values.seed),
+    minutes: parseNumber('minutes', values.minutes),
+    processes: parseNumber('processes', values.processes),
+    faults: parseFaults(values.faults),
     directory: values.programs ?? builtPrograms,
   };
 }
--- a/bench/src/soak/behaviours.ts
+++ b/bench/src/soak/behaviours.ts
@@ -1,24 +1,24 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { head } from '@laburnumstream/standins';
-import { eventText, eventsOf, plainAnswer } from './answers.js';
+import { buildHeaders } from '@laburnumstream/standins';
+import { formatEvent, getEventCount, buildPlainBody } from './answers.js';
 import { SoakService } from './shape.js';
 
-const eventGapMs = 15;
+const eventIntervalMs = 15;
 const workMs = 12;
 
-/** The engine on which a request runs. */
+/** The engine that executes a request. */
 export interface RunningEngine {
   readonly id: string;
   /** Version of its weights. */
   readonly version: number;
   crash(): void;
-  /** The version has changed within a run. */
-  mixed(id: string, from: number, to: number): void;
+  /** Reports that the version of the weights changed during a run. */
+  reportVersionChange(id: string, from: number, to: number): void;
 }
 
-/** A request that an engine runs. */
+/** One execution of a request by an engine. */
 export interface Run {
   readonly id: string;
   readonly request: IncomingMessage;
@@ -26,21 +26,21 @@
   readonly engine: RunningEngine;
 }
 
-/** How an engine deals with a request that it runs. */
+/** How an engine responds to a request that it executes. */
 export type RunBehaviour = (run: Run) => void | Promise<void>;
 
-/** How an answer tells its end. */
+/** How a response marks the end of its body. */
 const Framing = { length: 'length', chunks: 'chunks', close: 'close' } as const;
 type Framing = (typeof Framing)[keyof typeof Framing];
 
-/** Some answers have no length and end with their connection. */
-function framingOf(id: string): Framing {
+/** Chooses the framing by the request id, so that all kinds occur; some responses end with their connection. */
+function chooseFraming(id: string): Framing {
   if (id.endsWith('7')) return Framing.close;
   return id.endsWith('3') ? Framing.chunks : Framing.length;
 }
 
 function writeHead({ request, response, engine }: Run, framing: Framing, length: number): void {
-  const headers = head(request, engine);
+  const headers = buildHeaders(request, engine);
   if (framing === Framing.length) headers['content-length'] = String(length);
   if (framing === Framing.close) {
     response.useChunkedEncodingByDefault = false;
@@ -49,132 +49,135 @@
   response.writeHead(200, headers);
 }
 
-/** Answers whole, in two parts. */
-async function answers(run: Run): Promise<void> {
+/** Sends a complete response in two parts. */
+async function respond(run: Run): Promise<void> {
   await sleep(workMs);
-  const body = plainAnswer(run.id);
+  const body = buildPlainBody(run.id);
   const half = Math.floor(body.length / 2);
-  writeHead(run, framingOf(run.id), body.length);
+  writeHead(run, chooseFraming(run.id), body.length);
   run.response.write(body.slice(0, half));
   run.response.end(body.slice(half));
 }
 
-/** Streams all events from the one after the last that the caller has. */
-async function streams({ id, request, response, engine }: Run, until = Infinity): Promise<void> {
+/** Streams the events after `Last-Event-Id`, up to `until`. */
+async function streamEvents(
+  { id, request, response, engine }: Run,
+  until = Infinity,
+): Promise<void> {
   const { version } = engine;
-  const headers = { ...head(request, engine), 'content-type': 'text/event-stream' };
+  const headers = { ...buildHeaders(request, engine), 'content-type': 'text/event-stream' };
   response.writeHead(200, { ...headers, 'laburnumstream-weight-versions': String(version) });
   const first = Number(request.headers['last-event-id'] ?? 0) + 1;
-  const last = Math.min(until, eventsOf(id));
+  const last = Math.min(until, getEventCount(id));
   for (let event = first; event <= last && !response.destroyed; event += 1) {
-    if (engine.version !== version) engine.mixed(id, version, engine.version);
-    response.write(eventText(id, event, version));
-    await sleep(eventGapMs);
+    if (engine.version !== version) engine.reportVersionChange(id, version, engine.version);
+    response.write(formatEvent(id, event, version));
+    await sleep(eventIntervalMs);
   }
-  if (last === eventsOf(id)) response.end();
+  if (last === getEventCount(id)) response.end();
 }
 
-async function breaksOff(run: Run): Promise<void> {
+async function truncateResponse(run: Run): Promise<void> {
   await sleep(workMs);
-  const body = plainAnswer(run.id);
+  const body = buildPlainBody(run.id);
   writeHead(run, run.id.endsWith('3') ? Framing.chunks : Framing.length, body.length);
   run.response.write(body.slice(0, Math.floor(body.length / 2)));
   await sleep(workMs);
   run.response.destroy();
 }
 
-/** Answers that are sent once more when the next request comes on their connections. */
-const lateAnswers = new WeakMap<Socket, string>();
+/** Responses to send a second time when the next request arrives on their connection. */
+const lateResponses = new WeakMap<Socket, string>();
 
-/** Sends the answer that comes late on a connection, if there is one. */
-export function sendLateAnswer(socket: Socket): void {
-  const late = lateAnswers.get(socket);
-  lateAnswers.delete(socket);
+/** Sends the pending duplicate response of a connection, if there is one. */
+export function sendLateResponse(socket: Socket): void {
+  const late = lateResponses.get(socket);
+  lateResponses.delete(socket);
   if (late !== undefined && !socket.destroyed) socket.write(late);
 }
 
-async function answersTwice(run: Run): Promise<void> {
-  const body = plainAnswer(run.id);
+async function respondTwice(run: Run): Promise<void> {
+  const body = buildPlainBody(run.id);
   const seal = `Laburnumstream-Request-Id: ${run.id}\r\nLaburnumstream-Server-Seal: twice`;
   const text = `HTTP/1.1 200 OK\r\n${seal}\r\nContent-Length: ${body.length}`;
-  lateAnswers.set(run.request.socket, `${text}\r\n\r\n${body}`);
-  await answers(run);
+  lateResponses.set(run.request.socket, `${text}\r\n\r\n${body}`);
+  await respond(run);
 }
 
-async function addsBytes(run: Run): Promise<void> {
+async function sendExtraBytes(run: Run): Promise<void> {
   const { socket } = run.request;
-  await answers(run);
+  await respond(run);
   if (!socket.destroyed) socket.write('more bytes');
 }
 
-async function answersNonsense({ request }: Run): Promise<void> {
+async function sendInvalidResponse({ request }: Run): Promise<void> {
   await sleep(workMs);
   request.socket.end('no answer at all\r\n\r\n');
 }
 
-async function fails({ request, response, engine }: Run): Promise<void> {
+async function respondWithError({ request, response, engine }: Run): Promise<void> {
   await sleep(workMs);
-  response.writeHead(500, head(request, engine));
+  response.writeHead(500, buildHeaders(request, engine));
   response.end('failed');
 }
 
-async function breaksBeforeAnswer({ request }: Run): Promise<void> {
+async function disconnectBeforeResponse({ request }: Run): Promise<void> {
   await sleep(workMs);
   request.socket.destroy();
 }
 
-function hangs(): void {}
+function hang(): void {}
 
-async function crashes({ engine }: Run): Promise<void> {
+async function crashEngine({ engine }: Run): Promise<void> {
   await sleep(workMs);
   engine.crash();
 }
 
 const eventsBeforeFault = 3;
 
-async function stopsWithinEvent(run: Run): Promise<void> {
-  await streams(run, eventsBeforeFault);
+async function truncateEvent(run: Run): Promise<void> {
+  await streamEvents(run, eventsBeforeFault);
   run.response.write('id: 4\nda');
-  await sleep(eventGapMs);
+  await sleep(eventIntervalMs);
   run.response.destroy();
 }
 
-async function stopsStreaming(run: Run): Promise<void> {
-  await streams(run, eventsBeforeFault);
+async function stallStream(run: Run): Promise<void> {
+  await streamEvents(run, eventsBeforeFault);
 }
 
-async function crashesWithinStream(run: Run): Promise<void> {
-  await streams(run, eventsBeforeFault);
+async function crashWithinStream(run: Run): Promise<void> {
+  await streamEvents(run, eventsBeforeFault);
   run.engine.crash();
 }
 
-/** How engines of each service deal with requests as a rule. */
-export const rightBehaviours: Readonly<Record<string, RunBehaviour>> = {
-  [SoakService.desk]: answers,
-  [SoakService.model]: (run) => streams(run),
+/** Correct behaviour of the engines of each service. */
+export const correctBehaviours: Readonly<Record<string, RunBehaviour>> = {
+  [SoakService.desk]: respond,
+  [SoakService.model]: (run) => streamEvents(run),
 };
 
-/** What engines of each service may do wrong. */
+/** Faulty behaviours of the engines of each service; the draw is uniform, so duplicates double the probability. */
 export const misbehaviours: Readonly<Record<string, readonly RunBehaviour[]>> = {
   [SoakService.desk]: [
-    breaksOff,
-    breaksOff,
-    answersTwice,
-    answersTwice,
-    addsBytes,
-    answersNonsense,
-    fails,
-    breaksBeforeAnswer,
-    hangs,
-    crashes,
+    truncateResponse,
+    truncateResponse,
+    respondTwice,
+    respondTwice,
+    sendExtraBytes,
+    sendInvalidResponse,
+    respondWithError,
+    disconnectBeforeResponse,
+    hang,
+    crashEngine,
   ],
   [SoakService.model]: [
-    stopsWithinEvent,
-    stopsWithinEvent,
-    stopsStreaming,
-    crashesWithinStream,
-    fails,
-    breaksBeforeAnswer,
-    hangs,
+    truncateEvent,
+    truncateEvent,
+    stallStream,
+    crashWithinStream,
+    respondWithError,
+    disconnectBeforeResponse,
+    hang,
   ],
 };
--- a/bench/src/soak/caller.ts
+++ b/bench/src/soak/caller.ts
@@ -3,44 +3,44 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 import type { Random } from '@laburnumstream/common';
-import { plainFault, streamFault } from './answers.js';
-import { RequestEnd, SoakRule, harmOf } from './history.js';
+import { findPlainFault, findStreamFault } from './answers.js';
+import { RequestOutcome, SoakRule, getAbruptFaultName } from './history.js';
 import type { SentRequest, SoakHistory } from './history.js';
-import { pause } from './pause.js';
+import { interruptibleSleep } from './pause.js';
 import { SoakBounds, soakHost, soakRoutes } from './shape.js';
 import type { SoakRoute } from './shape.js';
 
-const longestGapMs = 60;
+const maxGapMs = 60;
 const unreachedGapMs = 150;
-/** Time beyond its deadline after which a caller closes its connection, in milliseconds. */
-const patienceMs = 5_000;
-/** Time before its deadline in which a request may be cut, in milliseconds. */
-const lateMs = 300;
-const leaveShare = 0.04;
-const longestStayMs = 300;
-const longestBody = 400;
-
-/** Statuses that say that a request has not run and never will. */
-const refusals: readonly number[] = [408, 421, 429, 503];
-
-/** Where a caller's requests go, and what they carry. */
+/** Time after the deadline of a request at which the caller closes the connection, in milliseconds. */
+const responseMarginMs = 5_000;
+/** Time before the deadline in which a request may be cut off, in milliseconds. */
+const deadlineMarginMs = 300;
+const disconnectShare = 0.04;
+const maxDisconnectDelayMs = 300;
+const maxBodyBytes = 400;
+
+/** Statuses that guarantee that a request was not and will not be executed. */
+const refusalStatuses: readonly number[] = [408, 421, 429, 503];
+
+/** Target, credentials and recorder of a caller. */
 export interface CallerContext {
   readonly entry: string;
   readonly host: string;
   readonly port: number;
   readonly history: SoakHistory;
   readonly random: Random;
-  readonly key: () => string;
+  readonly pickKey: () => string;
 }
 
-/** A caller that sends one request after the other on a connection that it keeps as long as it can. */
+/** A caller that sends requests one at a time over a keep-alive connection. */
 export class SoakCaller {
-  /** Times of served requests, in milliseconds. */
-  readonly times: Histogram = build();
+  /** Latencies of served requests, in milliseconds. */
+  readonly latencies: Histogram = build();
 
   private readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
 
-  private requests = 0;
+  private requestCount = 0;
 
   constructor(
     private readonly name: string,
@@ -51,9 +51,10 @@
     const { random } = this.context;
     while (!signal.aborted) {
       const route = soakRoutes[Math.floor(random.next() * soakRoutes.length)]!;
-      const end = await this.send(route, random.next() < leaveShare);
-      const gapMs = end === RequestEnd.unreached ? unreachedGapMs : random.next() * longestGapMs;
-      await pause(gapMs, signal);
+      const outcome = await this.send(route, random.next() < disconnectShare);
+      const gapMs =
+        outcome === RequestOutcome.unreached ? unreachedGapMs : random.next() * maxGapMs;
+      await interruptibleSleep(gapMs, signal);
     }
   }
 
@@ -61,32 +62,38 @@
     this.agent.destroy();
   }
 
-  /** Sends one request, and records and checks what comes back. */
-  async send(route: SoakRoute, leaves = false): Promise<RequestEnd> {
+  /** Sends one request, and records and checks its response. */
+  async send(route: SoakRoute, disconnects = false): Promise<RequestOutcome> {
     const { history, random, entry } = this.context;
-    this.requests += 1;
-    const id = `${this.name}-${this.requests}`;
+    this.requestCount += 1;
+    const id = `${this.name}-${this.requestCount}`;
     const request: SentRequest = {
       id,
       route,
-      path: `/${route.name}/${id}?of=${this.requests}`,
-      body: 'b'.repeat(1 + Math.floor(random.next() * longestBody)),
-      key: this.context.key(),
+      path: `/${route.name}/${id}?of=${this.requestCount}`,
+      body: 'b'.repeat(1 + Math.floor(random.next() * maxBodyBytes)),
+      key: this.context.pickKey(),
       deadlineMs: route.timeoutMs - Math.floor(random.next() * route.timeoutMs * 0.5),
       entry,
       sentAt: history.now(),
     };
-    history.sent(request);
-    const end = await this.exchange(request, leaves ? random.next() * longestStayMs : undefined);
-    history.ended(id, end);
-    if (end === RequestEnd.cut) this.checkLost(request);
-    if (end === RequestEnd.served) {
-      this.times.recordValue(Math.max(1, Math.round(history.now() - request.sentAt)));
+    history.recordSent(request);
+    const outcome = await this.exchange(
+      request,
+      disconnects ? random.next() * maxDisconnectDelayMs : undefined,
+    );
+    history.recordOutcome(id, outcome);
+    if (outcome === RequestOutcome.cut) this.checkLost(request);
+    if (outcome === RequestOutcome.served) {
+      this.latencies.recordValue(Math.max(1, Math.round(history.now() - request.sentAt)));
     }
-    return end;
+    return outcome;
   }
 
-  private exchange(request: SentRequest, leavesMs: number | undefined): Promise<RequestEnd> {
+  private exchange(
+    request: SentRequest,
+    disconnectAfterMs: number | undefined,
+  ): Promise<RequestOutcome> {
     const { host, port } = this.context;
     return new Promise((resolve) => {
       const sent = httpRequest({
@@ -105,34 +112,39 @@
         },
       });
       const timers: NodeJS.Timeout[] = [];
-      const end = (how: RequestEnd): void => {
+      const finish = (outcome: RequestOutcome): void => {
         timers.forEach((timer) => clearTimeout(timer));
-        resolve(how);
+        resolve(outcome);
       };
-      const leave = (how: RequestEnd) => () => {
+      const disconnect = (outcome: RequestOutcome) => () => {
         sent.destroy();
-        end(how);
+        finish(outcome);
       };
-      const limitMs = request.deadlineMs + patienceMs;
-      const lose = leave(RequestEnd.cut);
+      const limitMs = request.deadlineMs + responseMarginMs;
+      const timeOut = disconnect(RequestOutcome.cut);
       timers.push(
         setTimeout(() => {
           this.checkAnswered(request, limitMs);
-          lose();
+          timeOut();
         }, limitMs),
       );
-      if (leavesMs !== undefined) timers.push(setTimeout(leave(RequestEnd.left), leavesMs));
-      this.follow(sent, request, end);
+      if (disconnectAfterMs !== undefined)
+        timers.push(setTimeout(disconnect(RequestOutcome.left), disconnectAfterMs));
+      this.handleEvents(sent, request, finish);
       sent.end(request.body);
     });
   }
 
-  private follow(sent: ClientRequest, request: SentRequest, end: (how: RequestEnd) => void): void {
+  private handleEvents(
+    sent: ClientRequest,
+    request: SentRequest,
+    finish: (outcome: RequestOutcome) => void,
+  ): void {
     sent.once('error', (error: NodeJS.ErrnoException) => {
       if (error.code?.startsWith('HPE_') && error.code !== 'HPE_INVALID_EOF_STATE') {
-        this.violate(request, `got no HTTP answer: ${error.code}`);
+        this.recordViolation(request, `got no HTTP answer: ${error.code}`);
       }
-      end(error.code === 'ECONNREFUSED' ? RequestEnd.unreached : RequestEnd.cut);
+      finish(error.code === 'ECONNREFUSED' ? RequestOutcome.unreached : RequestOutcome.cut);
     });
     sent.once('response', (response) => {
       const parts: Buffer[] = [];
@@ -140,50 +152,53 @@
       response.on('error', () => undefined);
       response.once('close', () => {
         const body = Buffer.concat(parts).toString();
-        end(this.judge(request, response, body));
+        finish(this.classify(request, response, body));
       });
     });
   }
 
-  private judge(request: SentRequest, response: IncomingMessage, body: string): RequestEnd {
+  private classify(request: SentRequest, response: IncomingMessage, body: string): RequestOutcome {
     const { statusCode = 0, complete, headers } = response;
     const { id, route } = request;
-    if (refusals.includes(statusCode)) return RequestEnd.refused;
-    if (statusCode !== 200) return RequestEnd.failed;
+    if (refusalStatuses.includes(statusCode)) return RequestOutcome.refused;
+    if (statusCode !== 200) return RequestOutcome.failed;
     const isStream = route.kind === 'stream';
     if (headers['laburnumstream-server-seal'] === undefined) {
-      this.violate(request, 'got a success that no endpoint signed');
+      this.recordViolation(request, 'got a success that no endpoint signed');
     }
     if (headers['laburnumstream-request-id'] !== id) {
-      this.violate(request, `got the head of ${headers['laburnumstream-request-id']}`);
+      this.recordViolation(request, `got the head of ${headers['laburnumstream-request-id']}`);
     }
-    const fault = isStream ? streamFault(id, body, complete) : complete && plainFault(id, body);
-    if (fault) this.violate(request, `got an answer that ${fault}`);
-    return complete ? RequestEnd.served : RequestEnd.cut;
+    const fault = isStream
+      ? findStreamFault(id, body, complete)
+      : complete && findPlainFault(id, body);
+    if (fault) this.recordViolation(request, `got an answer that ${fault}`);
+    return complete ? RequestOutcome.served : RequestOutcome.cut;
   }
 
-  /** An entry that stops in order cuts nothing that undisturbed engines run. */
+  /** Reports a request that was cut off while running, unless its entry or an engine was disturbed or the deadline was near. */
   private checkLost({ id, route, entry, sentAt, deadlineMs }: SentRequest): void {
     const { history } = this.context;
     const engines = history.runs.get(id) ?? [];
-    const isLate = history.now() - sentAt > deadlineMs - lateMs;
+    const isLate = history.now() - sentAt > deadlineMs - deadlineMarginMs;
     if (engines.length === 0 || isLate) return;
-    if (!history.isQuiet([harmOf(entry), ...engines], SoakBounds.contactMs)) return;
-    history.violate(SoakRule.lost, `${route.name} ${id} was cut by ${entry}`);
+    if (!history.isUndisturbed([getAbruptFaultName(entry), ...engines], SoakBounds.undisturbedMs))
+      return;
+    history.recordViolation(SoakRule.lost, `${route.name} ${id} was cut by ${entry}`);
   }
 
-  /** Entries that work give each request an end in its time. */
+  /** Reports a request that an undisturbed entry left open beyond its time limit. */
   private checkAnswered({ id, entry, route }: SentRequest, limitMs: number): void {
     const { history } = this.context;
-    if (!history.isQuiet([entry], limitMs)) return;
-    history.violate(
+    if (!history.isUndisturbed([entry], limitMs)) return;
+    history.recordViolation(
       SoakRule.answered,
       `${route.name} ${id} at ${entry} has no end in ${limitMs} ms`,
     );
   }
 
-  private violate({ id, route, entry }: SentRequest, what: string): void {
+  private recordViolation({ id, route, entry }: SentRequest, text: string): void {
     const rule = route.kind === 'stream' ? SoakRule.stream : SoakRule.whole;
-    this.context.history.violate(rule, `${route.name} ${id} at ${entry} ${what}`);
+    this.context.history.recordViolation(rule, `${route.name} ${id} at ${entry} ${text}`);
   }
 }
--- a/bench/src/soak/engine.ts
+++ b/bench/src/soak/engine.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Random } from '@laburnumstream/common';
 import { PlatformEngine } from '@laburnumstream/standins';
-import { misbehaviours, rightBehaviours, sendLateAnswer } from './behaviours.js';
+import { misbehaviours, correctBehaviours, sendLateResponse } from './behaviours.js';
 import type { Run, RunBehaviour, RunningEngine } from './behaviours.js';
 import { checkReceived } from './checks.js';
 import { SoakRule } from './history.js';
@@ -9,45 +9,45 @@
 import { SoakBounds, SoakService } from './shape.js';
 import { EngineWeights } from './weights.js';
 
-const mostRunning = 32;
+const maxRunning = 32;
 const slots = 16;
 
-function textOf(request: IncomingMessage, name: string): string | undefined {
+function getHeader(request: IncomingMessage, name: string): string | undefined {
   const value = request.headers[`laburnumstream-${name}`];
   return Array.isArray(value) ? value[0] : value;
 }
 
-async function bodyOf(request: IncomingMessage): Promise<Buffer> {
+async function readBody(request: IncomingMessage): Promise<Buffer> {
   const parts: Buffer[] = [];
   for await (const part of request as AsyncIterable<Buffer>) parts.push(part);
   return Buffer.concat(parts);
 }
 
-/** What a soak's engines share. */
+/** Context that all engines of a soak share. */
 export interface EngineContext {
   readonly history: SoakHistory;
   readonly random: Random;
-  /** When a key was taken away, in milliseconds of the run. */
-  readonly keyGone: (key: string, sentAt: number) => boolean;
+  /** Whether a key was already revoked when a request was sent, at a run time in milliseconds. */
+  readonly isKeyRevoked: (key: string, sentAt: number) => boolean;
 }
 
-/** An engine that keeps account of what it runs, and misbehaves when it is told to. */
+/** A simulated engine that records its executions, checks what it receives, and misbehaves on demand. */
 export class SoakEngine implements RunningEngine {
   bornAt = Date.now();
 
-  /** Share of requests with which it misbehaves. */
-  misbehaves = 0;
+  /** Share of requests handled by a faulty behaviour, from 0 to 1. */
+  misbehaviourShare = 0;
 
-  /** Whether it accepts connections and answers nothing. */
+  /** Whether it accepts connections but never responds. */
   isSilent = false;
 
-  /** Whether its process is gone. */
+  /** Whether its process has crashed. */
   isDown = false;
 
   isDraining = false;
 
-  /** Time of the run after which no request may reach it, in milliseconds. */
-  goneAt = Infinity;
+  /** Run time in milliseconds after which no request may reach it. */
+  drainedAt = Infinity;
 
   running = 0;
 
@@ -61,16 +61,18 @@
     readonly name: string,
     readonly service: string,
     private readonly context: EngineContext,
-    /** Called when what it registers has changed. */
-    private readonly onChange: () => void,
+    /** Called when its registration has changed. */
+    private readonly onRegistrationChange: () => void,
   ) {
     const isModel = service === SoakService.model;
-    const broken = (text: string): void =>
-      this.context.history.violate(SoakRule.weights, `${this.name}: ${text}`);
-    this.weights = isModel ? new EngineWeights(() => this.running, onChange, broken) : undefined;
+    const onViolation = (text: string): void =>
+      this.context.history.recordViolation(SoakRule.weights, `${this.name}: ${text}`);
+    this.weights = isModel
+      ? new EngineWeights(() => this.running, onRegistrationChange, onViolation)
+      : undefined;
   }
 
-  /** Changes with each start. */
+  /** Changes with each restart. */
   get id(): string {
     return `${this.name}-${this.incarnation}`;
   }
@@ -90,38 +92,38 @@
     return this.weights?.version ?? 0;
   }
 
-  mixed(id: string, from: number, to: number): void {
-    // An engine that has started anew holds nothing; the run has ended with its old process.
+  reportVersionChange(id: string, from: number, to: number): void {
+    // A restarted engine has no weights; the run ended with the old process.
     if (to === 0) return;
     const text = `${id} at ${this.id} went from version ${from} to ${to}`;
-    this.context.history.violate(SoakRule.version, text);
+    this.context.history.recordViolation(SoakRule.version, text);
   }
 
-  /** Ends as a process does that is killed. */
+  /** Simulates a crash: all connections close and running requests are lost. */
   crash(): void {
-    this.context.history.disturb([this.name])();
+    this.context.history.beginFault([this.name])();
     this.isDown = true;
     this.running = 0;
     this.engine?.closeConnections();
   }
 
-  /** Starts again with another id, empty when it is a model engine. */
+  /** Restarts under a new id; a model engine restarts without weights. */
   restart(): void {
     this.incarnation += 1;
     this.bornAt = Date.now();
     this.isDown = false;
     this.isDraining = false;
-    this.goneAt = Infinity;
-    this.weights?.forget();
-    this.onChange();
+    this.drainedAt = Infinity;
+    this.weights?.reset();
+    this.onRegistrationChange();
   }
 
   close(): void {
     this.engine?.close();
   }
 
-  /** What it registers in the store, at the address under which entries reach it. */
-  registration(address: string): object {
+  /** Builds its registration in the store, with the address that entries connect to. */
+  buildRegistration(address: string): object {
     return {
       Service: this.service,
       Address: address,
@@ -142,77 +144,77 @@
     }
     if (this.isSilent) return;
     const path = request.url ?? '/';
-    if (path.startsWith('/-/')) await this.serveAgent(request, response, path);
-    else await this.serveRequest(request, response, path);
+    if (path.startsWith('/-/')) await this.handleAgentCall(request, response, path);
+    else await this.handleRequest(request, response, path);
   }
 
-  private async serveAgent(
+  private async handleAgentCall(
     request: IncomingMessage,
     response: ServerResponse,
     path: string,
   ): Promise<void> {
-    const body = await bodyOf(request).catch(() => undefined);
+    const body = await readBody(request).catch(() => undefined);
     if (body === undefined) return;
-    const answer = this.weights?.serve(path, body, {
+    const result = this.weights?.handleCall(path, body, {
       born: this.bornAt,
       Active: this.running,
       Queued: 0,
       pace: 1,
     });
-    response.writeHead(answer?.status ?? 404, { 'content-type': 'application/json' });
-    response.end(answer?.body);
+    response.writeHead(result?.status ?? 404, { 'content-type': 'application/json' });
+    response.end(result?.body);
   }
 
-  private async serveRequest(
+  private async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
     path: string,
   ): Promise<void> {
-    sendLateAnswer(request.socket);
-    const id = textOf(request, 'request-id') ?? '';
+    sendLateResponse(request.socket);
+    const id = getHeader(request, 'request-id') ?? '';
     const { history } = this.context;
-    const sent = history.reached(id, this.service);
+    const sent = history.recordArrival(id, this.service);
     this.checkDrain(request, id, sent?.entry ?? '');
-    const body = await bodyOf(request).catch(() => undefined);
+    const body = await readBody(request).catch(() => undefined);
     if (body === undefined || response.destroyed) return;
-    const refusal = this.refusal(request);
-    if (refusal !== undefined) {
-      response.writeHead(refusal, { 'laburnumstream-not-executed': '1' });
+    const rejection = this.getRejectionStatus(request);
+    if (rejection !== undefined) {
+      response.writeHead(rejection, { 'laburnumstream-not-executed': '1' });
       response.end();
       return;
     }
     checkReceived(history, id, sent, {
       path,
       body: body.toString(),
-      workspace: textOf(request, 'tenant'),
-      timeLeftMs: Number(textOf(request, 'deadline-ms')),
+      workspace: getHeader(request, 'tenant'),
+      timeLeftMs: Number(getHeader(request, 'deadline-ms')),
       hasKey: request.headers.authorization !== undefined,
     });
-    history.ran(id, this.name);
-    if (sent && this.context.keyGone(sent.key, sent.sentAt)) {
-      history.violate(SoakRule.key, `${id} at ${sent.entry} ran with ${sent.key}`);
+    history.recordRun(id, this.name);
+    if (sent && this.context.isKeyRevoked(sent.key, sent.sentAt)) {
+      history.recordViolation(SoakRule.key, `${id} at ${sent.entry} ran with ${sent.key}`);
     }
     await this.run({ id, request, response, engine: this });
   }
 
-  /** Entries that can hear of it send nothing to an engine that has left. */
+  /** Reports a request that reached a drained engine although its entry could have known of the drain. */
   private checkDrain(request: IncomingMessage, id: string, entry: string): void {
     const { history } = this.context;
-    const isMeant = textOf(request, 'expect-instance') === this.id;
-    if (!isMeant || history.now() <= this.goneAt) return;
-    const quietMs = SoakBounds.contactMs + SoakBounds.drainMs;
-    if (!history.isQuiet([entry, 'store', this.name], quietMs)) return;
-    history.violate(SoakRule.drain, `${id} by ${entry} reached ${this.id} after its end`);
+    const isAddressed = getHeader(request, 'expect-instance') === this.id;
+    if (!isAddressed || history.now() <= this.drainedAt) return;
+    const undisturbedMs = SoakBounds.undisturbedMs + SoakBounds.drainMs;
+    if (!history.isUndisturbed([entry, 'store', this.name], undisturbedMs)) return;
+    history.recordViolation(SoakRule.drain, `${id} by ${entry} reached ${this.id} after its end`);
   }
 
-  /** The status with which a request is refused and not run. */
-  private refusal(request: IncomingMessage): number | undefined {
-    const expected = textOf(request, 'expect-instance');
-    const version = textOf(request, 'expect-version');
+  /** Returns the status that rejects a request without executing it; undefined to execute it. */
+  private getRejectionStatus(request: IncomingMessage): number | undefined {
+    const expected = getHeader(request, 'expect-instance');
+    const version = getHeader(request, 'expect-version');
     if (expected !== undefined && expected !== this.id) return 421;
     if (this.weights && this.weights.version === 0) return 421;
     if (version !== undefined && Number(version) !== this.weights?.version) return 421;
-    if (this.weights?.isBusy || this.running >= mostRunning) return 503;
+    if (this.weights?.isLoading || this.running >= maxRunning) return 503;
     return undefined;
   }
 
@@ -220,16 +222,16 @@
     const { incarnation } = this;
     this.running += 1;
     try {
-      await this.behaviour()(run);
+      await this.chooseBehaviour()(run);
     } finally {
       if (incarnation === this.incarnation && !this.isDown) this.running -= 1;
-      if (this.running === 0) this.weights?.idle();
+      if (this.running === 0) this.weights?.loadIfIdle();
     }
   }
 
-  private behaviour(): RunBehaviour {
+  private chooseBehaviour(): RunBehaviour {
     const { random } = this.context;
-    if (random.next() >= this.misbehaves) return rightBehaviours[this.service]!;
+    if (random.next() >= this.misbehaviourShare) return correctBehaviours[this.service]!;
     const kinds = misbehaviours[this.service]!;
     return kinds[Math.floor(random.next() * kinds.length)]!;
   }
--- a/bench/src/soak/faults.ts
+++ b/bench/src/soak/faults.ts
@@ -5,7 +5,7 @@
 import { processFaults } from './faults/processFaults.js';
 import { storeFaults } from './faults/storeFaults.js';
 
-/** The faults that a soak combines, by name. */
+/** All faults that a soak can inject, by the name used for `--faults`. */
 export const soakFaults: Readonly<Record<string, SoakFault>> = {
   ...processFaults,
   ...linkFaults,
--- a/bench/src/soak/faults/engineFaults.ts
+++ b/bench/src/soak/faults/engineFaults.ts
@@ -1,29 +1,29 @@
 import type { Random } from '@laburnumstream/common';
 import type { SoakEndpoint, SoakFleet } from '../fleet.js';
-import { pause } from '../pause.js';
+import { interruptibleSleep } from '../pause.js';
 import { SoakBounds } from '../shape.js';
-import { disturbing, pickEndpoint, seriesGapMs } from './fault.js';
+import { withFault, pickEndpoint, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
 
-const misbehavingShare = 0.4;
-const longestDownMs = 2_500;
-/** Time beyond the bound in which requests may reach an engine that leaves, on a loaded machine. */
-const drainSlackMs = 500;
+const misbehaviourShare = 0.4;
+const maxDownMs = 2_500;
+/** Time beyond the drain bound in which requests may still reach a draining engine on a loaded machine, in milliseconds. */
+const drainMarginMs = 500;
 
 async function engineMisbehaves(context: SoakFaultContext): Promise<void> {
   const { engine } = pickEndpoint(context);
-  await disturbing(context, [engine.name], async () => {
-    engine.misbehaves = misbehavingShare;
-    await pause(context.lastsMs, context.signal);
-    engine.misbehaves = 0;
+  await withFault(context, [engine.name], async () => {
+    engine.misbehaviourShare = misbehaviourShare;
+    await interruptibleSleep(context.durationMs, context.signal);
+    engine.misbehaviourShare = 0;
   });
 }
 
 async function engineSilent(context: SoakFaultContext): Promise<void> {
   const { engine } = pickEndpoint(context);
-  await disturbing(context, [engine.name], async () => {
+  await withFault(context, [engine.name], async () => {
     engine.isSilent = true;
-    await pause(context.lastsMs, context.signal);
+    await interruptibleSleep(context.durationMs, context.signal);
     engine.isSilent = false;
   });
 }
@@ -31,25 +31,25 @@
 async function engineCrashes(context: SoakFaultContext): Promise<void> {
   const { engine } = pickEndpoint(context);
   engine.crash();
-  await pause(context.lastsMs, context.signal);
+  await interruptibleSleep(context.durationMs, context.signal);
 }
 
-/** An engine says that it leaves, serves on for its time and comes back as another one. */
+/** Drains an engine, which serves until the drain bound, then crashes it; it restarts under a new id. */
 async function engineLeaves(context: SoakFaultContext): Promise<void> {
-  const { fleet, signal, random, lastsMs } = context;
+  const { fleet, signal, random, durationMs } = context;
   const endpoint = pickEndpoint(context);
   const { engine } = endpoint;
   if (engine.isDraining || engine.isDown) return;
   engine.isDraining = true;
-  const says = random.next() < 0.5;
-  if (says) fleet.register(endpoint);
+  const staysRegistered = random.next() < 0.5;
+  if (staysRegistered) fleet.register(endpoint);
   else fleet.unregister(endpoint);
-  engine.goneAt = fleet.history.now() + SoakBounds.drainMs + drainSlackMs;
-  await pause(SoakBounds.drainMs + drainSlackMs + lastsMs, signal);
+  engine.drainedAt = fleet.history.now() + SoakBounds.drainMs + drainMarginMs;
+  await interruptibleSleep(SoakBounds.drainMs + drainMarginMs + durationMs, signal);
   engine.crash();
 }
 
-/** Faults of engines, by name. */
+/** Engine faults, by name. */
 export const engineFaults: Readonly<Record<string, SoakFault>> = {
   engineMisbehaves,
   engineSilent,
@@ -57,24 +57,24 @@
   engineLeaves,
 };
 
-/** Brings engines back that are down, each after a while. */
-export async function reviveEngines(
+/** Restarts engines that are down, each after a random delay, until the signal fires. */
+export async function restartEngines(
   fleet: SoakFleet,
   random: Random,
   signal: AbortSignal,
 ): Promise<void> {
-  const reviving = new Set<SoakEndpoint>();
-  const revive = async (endpoint: SoakEndpoint): Promise<void> => {
-    reviving.add(endpoint);
-    await pause(random.next() * longestDownMs, signal);
+  const restarting = new Set<SoakEndpoint>();
+  const restart = async (endpoint: SoakEndpoint): Promise<void> => {
+    restarting.add(endpoint);
+    await interruptibleSleep(random.next() * maxDownMs, signal);
     fleet.unregister(endpoint);
     endpoint.engine.restart();
-    reviving.delete(endpoint);
+    restarting.delete(endpoint);
   };
   while (!signal.aborted) {
     fleet.endpoints
-      .filter((endpoint) => endpoint.engine.isDown && !reviving.has(endpoint))
-      .forEach((endpoint) => void revive(endpoint));
-    await pause(seriesGapMs, signal);
+      .filter((endpoint) => endpoint.engine.isDown && !restarting.has(endpoint))
+      .forEach((endpoint) => void restart(endpoint));
+    await interruptibleSleep(stepIntervalMs, signal);
   }
 }
--- a/bench/src/soak/faults/fault.ts
+++ b/bench/src/soak/faults/fault.ts
@@ -2,37 +2,38 @@
 import type { SoakEndpoint, SoakEntry, SoakFleet } from '../fleet.js';
 import type { SoakProcess } from '../process.js';
 
-/** What a fault works on. */
+/** Context of one injected fault. */
 export interface SoakFaultContext {
   readonly fleet: SoakFleet;
   readonly random: Random;
-  readonly lastsMs: number;
-  /** Fires when all faults are to be healed. */
+  /** How long the fault lasts, in milliseconds. */
+  readonly durationMs: number;
+  /** Fires when all faults have to be reverted. */
   readonly signal: AbortSignal;
 }
 
-/** Causes one fault and heals it. */
+/** Injects one fault and reverts it. */
 export type SoakFault = (context: SoakFaultContext) => Promise<void>;
 
-/** Time between the steps of a fault that comes in series, in milliseconds. */
-export const seriesGapMs = 400;
+/** Interval between the steps of a repeated fault, in milliseconds. */
+export const stepIntervalMs = 400;
 
-/** One of several, drawn by chance. */
+/** Picks a random item. */
 export function pick<Item>(items: readonly Item[], random: Random): Item {
   return items[Math.floor(random.next() * items.length)]!;
 }
 
-/** An entry drawn by chance. */
+/** Picks a random entry. */
 export function pickEntry({ fleet, random }: SoakFaultContext): SoakEntry {
   return pick(fleet.entries, random);
 }
 
-/** An engine drawn by chance, with its link and agent. */
+/** Picks a random engine with its relay and agent. */
 export function pickEndpoint({ fleet, random }: SoakFaultContext): SoakEndpoint {
   return pick(fleet.endpoints, random);
 }
 
-/** An agent drawn by chance. */
+/** Picks a random agent. */
 export function pickAgent({ fleet, random }: SoakFaultContext): SoakProcess {
   return pick(
     fleet.endpoints.flatMap(({ process }) => process ?? []),
@@ -40,16 +41,16 @@
   );
 }
 
-/** Marks what a fault disturbs until it is healed. */
-export async function disturbing(
+/** Marks the names as affected by a fault while `work` runs. */
+export async function withFault(
   { fleet }: SoakFaultContext,
   names: readonly string[],
   work: () => Promise<void>,
 ): Promise<void> {
-  const end = fleet.history.disturb(names);
+  const endFault = fleet.history.beginFault(names);
   try {
     await work();
   } finally {
-    end();
+    endFault();
   }
 }
--- a/bench/src/soak/faults/linkFaults.ts
+++ b/bench/src/soak/faults/linkFaults.ts
@@ -1,76 +1,90 @@
 import { RelayMode } from '@laburnumstream/standins';
 import type { Relay } from '@laburnumstream/standins';
-import { pause } from '../pause.js';
-import { disturbing, pickEndpoint, pickEntry, seriesGapMs } from './fault.js';
+import { interruptibleSleep } from '../pause.js';
+import { withFault, pickEndpoint, pickEntry, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
 
-const longestDelayMs = 200;
+const maxDelayMs = 200;
 
-async function treat(relay: Relay, mode: RelayMode, context: SoakFaultContext): Promise<void> {
-  relay.set(mode);
-  await pause(context.lastsMs, context.signal);
-  relay.set(RelayMode.open);
-  // What was silenced or has lost bytes is not usable any more.
-  if (mode !== RelayMode.silentOld) relay.reset();
+async function applyMode(relay: Relay, mode: RelayMode, context: SoakFaultContext): Promise<void> {
+  relay.setMode(mode);
+  await interruptibleSleep(context.durationMs, context.signal);
+  relay.setMode(RelayMode.open);
+  // Connections that were silenced or lost bytes are unusable. `silentExisting` leaves them open, so that entries have to detect them.
+  if (mode !== RelayMode.silentExisting) relay.reset();
 }
 
-function endpointLink(mode: RelayMode): SoakFault {
+function endpointModeFault(mode: RelayMode): SoakFault {
   return (context) => {
     const { engine, relay } = pickEndpoint(context);
-    return disturbing(context, [engine.name], () => treat(relay, mode, context));
+    return withFault(context, [engine.name], () => applyMode(relay, mode, context));
   };
 }
 
-function storeLink(mode: RelayMode): SoakFault {
+function storeModeFault(mode: RelayMode): SoakFault {
   return (context) => {
-    const { name, store } = pickEntry(context);
-    return disturbing(context, [name], () => treat(store, mode, context));
+    const { name, storeRelay } = pickEntry(context);
+    return withFault(context, [name], () => applyMode(storeRelay, mode, context));
   };
 }
 
-async function delays(relay: Relay, { random, lastsMs, signal }: SoakFaultContext): Promise<void> {
-  Object.assign(relay, { delayMs: random.next() * longestDelayMs });
-  await pause(lastsMs, signal);
+async function delayLink(
+  relay: Relay,
+  { random, durationMs, signal }: SoakFaultContext,
+): Promise<void> {
+  Object.assign(relay, { delayMs: random.next() * maxDelayMs });
+  await interruptibleSleep(durationMs, signal);
   Object.assign(relay, { delayMs: 0 });
   relay.reset();
 }
 
-async function resets(relay: Relay, { random, lastsMs, signal }: SoakFaultContext): Promise<void> {
-  for (let left = lastsMs; left > 0 && !signal.aborted; left -= seriesGapMs) {
+async function resetLink(
+  relay: Relay,
+  { random, durationMs, signal }: SoakFaultContext,
+): Promise<void> {
+  for (
+    let remainingMs = durationMs;
+    remainingMs > 0 && !signal.aborted;
+    remainingMs -= stepIntervalMs
+  ) {
     relay.reset();
-    await pause(random.next() * seriesGapMs, signal);
+    await interruptibleSleep(random.next() * stepIntervalMs, signal);
   }
 }
 
-function onEndpoint(work: (relay: Relay, context: SoakFaultContext) => Promise<void>): SoakFault {
+function endpointLinkFault(
+  inject: (relay: Relay, context: SoakFaultContext) => Promise<void>,
+): SoakFault {
   return (context) => {
     const { engine, relay } = pickEndpoint(context);
-    return disturbing(context, [engine.name], () => work(relay, context));
+    return withFault(context, [engine.name], () => inject(relay, context));
   };
 }
 
-function onStoreLink(work: (relay: Relay, context: SoakFaultContext) => Promise<void>): SoakFault {
+function storeLinkFault(
+  inject: (relay: Relay, context: SoakFaultContext) => Promise<void>,
+): SoakFault {
   return (context) => {
-    const { name, store } = pickEntry(context);
-    return disturbing(context, [name], () => work(store, context));
+    const { name, storeRelay } = pickEntry(context);
+    return withFault(context, [name], () => inject(storeRelay, context));
   };
 }
 
-/** Faults of the links between entries and engines, and between entries and the store, by name. */
+/** Faults of the connections from entries to engines and to the store, by name. */
 export const linkFaults: Readonly<Record<string, SoakFault>> = {
-  linkDelayed: onEndpoint(delays),
-  linkReset: onEndpoint(resets),
-  linkCut: endpointLink(RelayMode.cut),
-  linkRefused: endpointLink(RelayMode.refused),
-  linkSilent: endpointLink(RelayMode.silent),
-  oldLinksSilent: endpointLink(RelayMode.silentOld),
-  answersLost: endpointLink(RelayMode.answersLost),
-  requestsLost: endpointLink(RelayMode.requestsLost),
-  answersCutShort: endpointLink(RelayMode.cutShort),
-  storeLinkDelayed: onStoreLink(delays),
-  storeLinkReset: onStoreLink(resets),
-  storeLinkCut: storeLink(RelayMode.cut),
-  storeLinkRefused: storeLink(RelayMode.refused),
-  storeLinkSilent: storeLink(RelayMode.silent),
-  storeAnswersLost: storeLink(RelayMode.answersLost),
+  linkDelayed: endpointLinkFault(delayLink),
+  linkReset: endpointLinkFault(resetLink),
+  linkCut: endpointModeFault(RelayMode.cut),
+  linkRefused: endpointModeFault(RelayMode.refused),
+  linkSilent: endpointModeFault(RelayMode.silent),
+  oldLinksSilent: endpointModeFault(RelayMode.silentExisting),
+  answersLost: endpointModeFault(RelayMode.responsesLost),
+  requestsLost: endpointModeFault(RelayMode.requestsLost),
+  answersCutShort: endpointModeFault(RelayMode.truncated),
+  storeLinkDelayed: storeLinkFault(delayLink),
+  storeLinkReset: storeLinkFault(resetLink),
+  storeLinkCut: storeModeFault(RelayMode.cut),
+  storeLinkRefused: storeModeFault(RelayMode.refused),
+  storeLinkSilent: storeModeFault(RelayMode.silent),
+  storeAnswersLost: storeModeFault(RelayMode.responsesLost),
 };
--- a/bench/src/soak/faults/processFaults.ts
+++ b/bench/src/soak/faults/processFaults.ts
@@ -1,83 +1,89 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { harmOf } from '../history.js';
-import { pause } from '../pause.js';
+import { getAbruptFaultName } from '../history.js';
+import { interruptibleSleep } from '../pause.js';
 import type { SoakProcess } from '../process.js';
-import { disturbing, pickAgent, pickEntry, seriesGapMs } from './fault.js';
+import { withFault, pickAgent, pickEntry, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
 
-type Pick = (context: SoakFaultContext) => SoakProcess;
-const entryProcess: Pick = (context) => pickEntry(context).process;
+type ProcessSelector = (context: SoakFaultContext) => SoakProcess;
+const pickEntryProcess: ProcessSelector = (context) => pickEntry(context).process;
 
-/** What is disturbed when a process is asked to stop. */
-const asked = (name: string): readonly string[] => [name];
-/** What is disturbed when a process is harmed without notice. */
-const harmed = (name: string): readonly string[] => [name, harmOf(name)];
+/** Names affected when a process is asked to stop. */
+const announcedFaultNames = (name: string): readonly string[] => [name];
+/** Names affected when a process is killed or paused without notice. */
+const abruptFaultNames = (name: string): readonly string[] => [name, getAbruptFaultName(name)];
 
-/** Ends a process in some way, and starts it again after a while. */
-function ends(
-  choose: Pick,
-  how: (process: SoakProcess) => Promise<void>,
-  names: (name: string) => readonly string[] = harmed,
+/** Ends a process with `end` and restarts it after a random delay. */
+function endAndRestart(
+  choose: ProcessSelector,
+  end: (process: SoakProcess) => Promise<void>,
+  names: (name: string) => readonly string[] = abruptFaultNames,
 ): SoakFault {
   return (context) => {
     const process = choose(context);
-    return disturbing(context, names(process.name), () =>
-      process.exclusively(async () => {
-        await how(process);
-        await pause(context.random.next() * context.lastsMs, context.signal);
+    return withFault(context, names(process.name), () =>
+      process.restartExclusively(async () => {
+        await end(process);
+        await interruptibleSleep(context.random.next() * context.durationMs, context.signal);
         await process.start();
       }),
     );
   };
 }
 
-const kills = (choose: Pick): SoakFault => ends(choose, (process) => process.kill());
-const stops = (choose: Pick): SoakFault => ends(choose, (process) => process.stop(), asked);
+const kill = (choose: ProcessSelector): SoakFault =>
+  endAndRestart(choose, (process) => process.kill());
+const stop = (choose: ProcessSelector): SoakFault =>
+  endAndRestart(choose, (process) => process.stop(), announcedFaultNames);
 
-/** Kills a process that has been asked to stop. */
-const stopsAndKills = (choose: Pick): SoakFault =>
-  ends(choose, async (process) => {
+/** Asks a process to stop and kills it while it shuts down. */
+const stopAndKill = (choose: ProcessSelector): SoakFault =>
+  endAndRestart(choose, async (process) => {
     const stopped = process.stop();
-    await sleep(seriesGapMs);
+    await sleep(stepIntervalMs);
     await process.kill();
     await stopped;
   });
 
-function pauses(choose: Pick): SoakFault {
+function pauseOnce(choose: ProcessSelector): SoakFault {
   return (context) => {
     const process = choose(context);
-    return disturbing(context, harmed(process.name), async () => {
+    return withFault(context, abruptFaultNames(process.name), async () => {
       process.pause();
-      await pause(context.lastsMs, context.signal);
+      await interruptibleSleep(context.durationMs, context.signal);
       process.resume();
     });
   };
 }
 
-/** Pauses a process several times, shortly after each other. */
-function stutters(choose: Pick): SoakFault {
+/** Pauses a process several times in quick succession. */
+function pauseRepeatedly(choose: ProcessSelector): SoakFault {
   return async (context) => {
-    const { lastsMs, signal, random } = context;
+    const { durationMs, signal, random } = context;
     const process = choose(context);
-    await disturbing(context, harmed(process.name), async () => {
-      for (let left = lastsMs; left > 0 && !signal.aborted; left -= 2 * seriesGapMs) {
+    await withFault(context, abruptFaultNames(process.name), async () => {
+      for (
+        let remainingMs = durationMs;
+        remainingMs > 0 && !signal.aborted;
+        remainingMs -= 2 * stepIntervalMs
+      ) {
         process.pause();
-        await pause(random.next() * seriesGapMs, signal);
+        await interruptibleSleep(random.next() * stepIntervalMs, signal);
         process.resume();
-        await pause(random.next() * seriesGapMs, signal);
+        await interruptibleSleep(random.next() * stepIntervalMs, signal);
       }
     });
   };
 }
 
-/** Signals to the programs, by name. */
+/** Faults caused by signals to the programs, by name. */
 export const processFaults: Readonly<Record<string, SoakFault>> = {
-  killEntry: kills(entryProcess),
-  stopEntry: stops(entryProcess),
-  stopAndKillEntry: stopsAndKills(entryProcess),
-  pauseEntry: pauses(entryProcess),
-  stutterEntry: stutters(entryProcess),
-  killAgent: kills(pickAgent),
-  stopAgent: stops(pickAgent),
-  pauseAgent: pauses(pickAgent),
+  killEntry: kill(pickEntryProcess),
+  stopEntry: stop(pickEntryProcess),
+  stopAndKillEntry: stopAndKill(pickEntryProcess),
+  pauseEntry: pauseOnce(pickEntryProcess),
+  stutterEntry: pauseRepeatedly(pickEntryProcess),
+  killAgent: kill(pickAgent),
+  stopAgent: stop(pickAgent),
+  pauseAgent: pauseOnce(pickAgent),
 };
--- a/bench/src/soak/faults/storeFaults.ts
+++ b/bench/src/soak/faults/storeFaults.ts
@@ -1,37 +1,37 @@
-import { pause } from '../pause.js';
-import { disturbing, seriesGapMs } from './fault.js';
+import { interruptibleSleep } from '../pause.js';
+import { withFault, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
 
-const slowStoreMs = 700;
-const lossShare = 0.3;
+const slowStoreDelayMs = 700;
+const droppedResponseShare = 0.3;
 
-/** Changes a field of the store for a while. */
-function onStore(during: object, after: object): SoakFault {
+/** Sets fields of the store for the duration of the fault. */
+function setStoreFields(during: object, after: object): SoakFault {
   return (context) =>
-    disturbing(context, ['store'], async () => {
+    withFault(context, ['store'], async () => {
       Object.assign(context.fleet.store, during);
-      await pause(context.lastsMs, context.signal);
+      await interruptibleSleep(context.durationMs, context.signal);
       Object.assign(context.fleet.store, after);
     });
 }
 
 async function storeLosesAnswers(context: SoakFaultContext): Promise<void> {
-  const losesAnswer = (): boolean => context.random.next() < lossShare;
-  await onStore({ losesAnswer }, { losesAnswer: () => false })(context);
+  const shouldDropResponse = (): boolean => context.random.next() < droppedResponseShare;
+  await setStoreFields({ shouldDropResponse }, { shouldDropResponse: () => false })(context);
 }
 
 async function storeForgets(context: SoakFaultContext): Promise<void> {
-  await disturbing(context, ['store'], async () => {
+  await withFault(context, ['store'], async () => {
     context.fleet.store.compact();
-    await pause(seriesGapMs, context.signal);
+    await interruptibleSleep(stepIntervalMs, context.signal);
   });
 }
 
-/** Faults of the store itself, by name. */
+/** Store faults, by name. */
 export const storeFaults: Readonly<Record<string, SoakFault>> = {
-  storeAway: onStore({ refusal: 503 }, { refusal: undefined }),
-  storeSilent: onStore({ isSilent: true }, { isSilent: false }),
-  storeSlow: onStore({ delayMs: slowStoreMs }, { delayMs: 0 }),
+  storeAway: setStoreFields({ forcedStatus: 503 }, { forcedStatus: undefined }),
+  storeSilent: setStoreFields({ isSilent: true }, { isSilent: false }),
+  storeSlow: setStoreFields({ delayMs: slowStoreDelayMs }, { delayMs: 0 }),
   storeLosesAnswers,
   storeForgets,
 };
--- a/bench/src/soak/fleet.ts
+++ b/bench/src/soak/fleet.ts
@@ -8,47 +8,48 @@
 import { SoakEngine } from './engine.js';
 import type { SoakHistory } from './history.js';
 import { SoakProcess } from './process.js';
-import { SoakService, configurationOf, settingsOf, soakModel, SoakBounds } from './shape.js';
+import { SoakService, buildConfiguration, buildSettings, soakModel, SoakBounds } from './shape.js';
 import type { SoakPorts, SoakRoute, SoakShape } from './shape.js';
 import { SoakOrigin } from './origin.js';
 
-/** An entry and the way from it to the store. */
+/** An entry and the relay between it and the store. */
 export interface SoakEntry {
   readonly name: string;
   readonly host: string;
-  readonly store: Relay;
+  readonly storeRelay: Relay;
   readonly process: SoakProcess;
 }
 
-/** An engine, the way to it, and its agent if it has one. */
+/** An engine, the relay in front of it, and its agent if it has one. */
 export interface SoakEndpoint {
   readonly engine: SoakEngine;
   readonly relay: Relay;
   readonly process: SoakProcess | undefined;
 }
 
-/** Time for which callers go on using a key that was taken away, in milliseconds. */
-const removedInUseMs = 10_000;
-/** Blocks of loopback addresses, so that soaks beside each other do not meet. */
+/** Time for which callers keep using a removed key, in milliseconds. */
+const removedKeyUseMs = 10_000;
+/** Number of loopback address blocks; concurrent soaks use different blocks. */
 const addressBlocks = 100;
 const firstBlock = 20;
 
-/** The programs of the product on stand-ins, all on loopback addresses of this machine. */
+/** The programs under test with stand-ins for the platform, all on loopback addresses. */
 export class SoakFleet {
   readonly entries: SoakEntry[] = [];
 
   readonly endpoints: SoakEndpoint[] = [];
 
-  /** Where the programs' logs are. */
+  /** Directory of the programs' logs. */
   readonly logs = mkdtempSync(join(tmpdir(), 'laburnumstream-soak-'));
 
-  namedVersion = 1;
+  targetVersion = 1;
 
   readonly origin = new SoakOrigin();
 
   private readonly keys = ['key-1'];
 
-  private readonly removals = new Map<string, number>();
+  /** Run time in milliseconds at which each key was removed. */
+  private readonly keyRemovals = new Map<string, number>();
 
   private configurationVersion = 0;
 
@@ -56,7 +57,7 @@
 
   private ports!: SoakPorts;
 
-  private readonly block = firstBlock + (process.pid % addressBlocks);
+  private readonly addressBlock = firstBlock + (process.pid % addressBlocks);
 
   private constructor(
     readonly store: PlatformStore,
@@ -65,7 +66,7 @@
     private readonly directory: string,
   ) {}
 
-  /** Starts everything; leaves no process behind when that fails. */
+  /** Starts all programs; on failure it stops those already started. */
   static async start(
     shape: SoakShape,
     seed: number,
@@ -77,10 +78,10 @@
       await fleet.origin.start();
       await fleet.build(shape);
       fleet.writeConfiguration();
-      fleet.nameVersion(fleet.namedVersion);
+      fleet.setTargetVersion(fleet.targetVersion);
       const [first, ...others] = fleet.processes;
-      await first?.startFirst();
-      await Promise.all(others.map((each) => each.startFirst()));
+      await first?.startAndWait();
+      await Promise.all(others.map((each) => each.startAndWait()));
       return fleet;
     } catch (error) {
       await fleet.close();
@@ -97,24 +98,25 @@
     return this.ports.callers;
   }
 
-  /** A key that is allowed, or one that was taken away lately. */
-  anyKey(draw: number): string {
-    const since = this.history.now() - removedInUseMs;
-    const removed = [...this.removals].filter(([, at]) => at > since).map(([key]) => key);
-    const choice = draw < 0.5 || removed.length === 0 ? this.keys : removed;
-    return choice[Math.floor(draw * 2 * choice.length) % choice.length]!;
+  /** Picks a valid or a recently removed key by a number from 0 to 1. */
+  pickKey(draw: number): string {
+    const since = this.history.now() - removedKeyUseMs;
+    const removed = [...this.keyRemovals].filter(([, at]) => at > since).map(([key]) => key);
+    const candidates = draw < 0.5 || removed.length === 0 ? this.keys : removed;
+    return candidates[Math.floor(draw * 2 * candidates.length) % candidates.length]!;
   }
 
-  get goodKey(): string {
+  /** The newest key. */
+  get validKey(): string {
     return this.keys.at(-1)!;
   }
 
-  /** Adds a key and takes the oldest away. */
+  /** Adds a key and removes the oldest one. */
   rotateKeys(): void {
     this.keys.push(`key-${this.configurationVersion + 1}`);
-    const gone = this.keys.shift()!;
+    const removed = this.keys.shift()!;
     this.writeConfiguration();
-    this.removals.set(gone, this.history.now());
+    this.keyRemovals.set(removed, this.history.now());
   }
 
   setExtraRoutes(routes: readonly SoakRoute[]): void {
@@ -122,27 +124,28 @@
     this.writeConfiguration();
   }
 
-  /** From now on the origin corrupts a share of the pieces that it sends. */
-  setCorruption(share: number): void {
-    this.origin.corrupts = share;
+  /** Sets the share of pieces that the origin corrupts, from 0 to 1. */
+  setCorruptShare(share: number): void {
+    this.origin.corruptShare = share;
   }
 
-  nameVersion(version: number): void {
-    this.namedVersion = version;
+  /** Sets the version that all model engines have to load. */
+  setTargetVersion(version: number): void {
+    this.targetVersion = version;
     const { name } = soakModel;
     this.store.write(`op/version/${name}`, { Model: name, Version: version });
   }
 
   register({ engine, relay }: SoakEndpoint): void {
-    this.store.write(`servers/${engine.id}`, engine.registration(relay.address));
+    this.store.write(`servers/${engine.id}`, engine.buildRegistration(relay.address));
   }
 
   unregister({ engine }: SoakEndpoint): void {
     this.store.remove(`servers/${engine.id}`);
   }
 
-  /** Brings engines back that are down. */
-  revive(): void {
+  /** Restarts all engines that are down. */
+  restartDownEngines(): void {
     this.endpoints
       .filter(({ engine }) => engine.isDown)
       .forEach((endpoint) => {
@@ -154,16 +157,17 @@
   async close(): Promise<void> {
     await Promise.all(this.processes.map((each) => each.close()));
     await Promise.all(
-      [...this.entries.map(({ store }) => store), ...this.endpoints.map(({ relay }) => relay)].map(
-        (relay) => relay.stop(),
-      ),
+      [
+        ...this.entries.map(({ storeRelay }) => storeRelay),
+        ...this.endpoints.map(({ relay }) => relay),
+      ].map((relay) => relay.stop()),
     );
     this.endpoints.forEach(({ engine }) => engine.close());
     this.origin.close();
     this.store.close();
   }
 
-  private async build({ entries, models, desks }: SoakShape): Promise<void> {
+  private async build({ entries, modelEngines, plainEngines }: SoakShape): Promise<void> {
     const [callers, readiness, first, , metrics, engine] = await freePorts(6);
     this.ports = {
       callers: callers!,
@@ -172,35 +176,35 @@
       metrics: metrics!,
       engine: engine!,
     };
-    for (let place = 1; place <= entries; place += 1) await this.addEntry(place);
-    for (let place = 1; place <= models; place += 1) await this.addEndpoint(place, true);
-    for (let place = 1; place <= desks; place += 1) await this.addEndpoint(place, false);
+    for (let index = 1; index <= entries; index += 1) await this.addEntry(index);
+    for (let index = 1; index <= modelEngines; index += 1) await this.addEndpoint(index, true);
+    for (let index = 1; index <= plainEngines; index += 1) await this.addEndpoint(index, false);
   }
 
-  private async addEntry(place: number): Promise<void> {
-    const name = `entry-${place}`;
-    const host = `127.${this.block}.1.${place}`;
+  private async addEntry(index: number): Promise<void> {
+    const name = `entry-${index}`;
+    const host = `127.${this.addressBlock}.1.${index}`;
     const { callers, readiness, metrics: metricsPort } = this.ports;
-    const store = await new Relay(Number(this.store.address.split(':')[1])).start();
+    const storeRelay = await new Relay(Number(this.store.address.split(':')[1])).start();
     const settings = {
-      ...settingsOf(name, host, store.address, this.ports),
+      ...buildSettings(name, host, storeRelay.address, this.ports),
       'Listen.Front': `${host}:${callers}`,
       'Listen.Ready': `${host}:${readiness}`,
     };
-    const choices = { directory: this.directory, logs: this.logs, metricsPort };
-    const entry = new SoakProcess(name, PlatformMain.entry, settings, choices, this.history);
-    this.entries.push({ name, host, store, process: entry });
+    const options = { directory: this.directory, logs: this.logs, metricsPort };
+    const entry = new SoakProcess(name, PlatformMain.entry, settings, options, this.history);
+    this.entries.push({ name, host, storeRelay, process: entry });
   }
 
-  private async addEndpoint(place: number, isModel: boolean): Promise<void> {
+  private async addEndpoint(index: number, isModel: boolean): Promise<void> {
     const service = isModel ? SoakService.model : SoakService.desk;
-    const name = `${service}-${place}`;
-    const host = `127.${this.block}.${isModel ? 2 : 3}.${place}`;
+    const name = `${service}-${index}`;
+    const host = `127.${this.addressBlock}.${isModel ? 2 : 3}.${index}`;
     const context = {
       history: this.history,
-      random: new SeededRandom(this.seed * 1_009 + place * 2 + Number(isModel)),
-      keyGone: (key: string, sentAt: number) =>
-        sentAt > (this.removals.get(key) ?? Infinity) + SoakBounds.revocationMs,
+      random: new SeededRandom(this.seed * 1_009 + index * 2 + Number(isModel)),
+      isKeyRevoked: (key: string, sentAt: number) =>
+        sentAt > (this.keyRemovals.get(key) ?? Infinity) + SoakBounds.revocationMs,
     };
     const engine = await new SoakEngine(name, service, context, () => {
       const changed = this.endpoints.find((each) => each.engine.name === name);
@@ -208,26 +212,26 @@
     }).start();
     const relay = new Relay(Number(engine.address.split(':')[1]), 0, host);
     await relay.start(this.ports.engine);
-    const agent = isModel ? this.agentOf(name, host, engine) : undefined;
+    const agent = isModel ? this.createAgent(name, host, engine) : undefined;
     const endpoint: SoakEndpoint = { engine, relay, process: agent };
     this.endpoints.push(endpoint);
     this.register(endpoint);
   }
 
-  private agentOf(name: string, host: string, engine: SoakEngine): SoakProcess {
+  private createAgent(name: string, host: string, engine: SoakEngine): SoakProcess {
     const settings = {
-      ...settingsOf(`agent-${name}`, host, this.store.address, this.ports),
+      ...buildSettings(`agent-${name}`, host, this.store.address, this.ports),
       app: engine.address,
       Service: SoakService.model,
     };
     const { directory, logs, ports } = this;
-    const choices = { directory, logs, metricsPort: ports.metrics };
-    return new SoakProcess(`agent-${name}`, PlatformMain.agent, settings, choices, this.history);
+    const options = { directory, logs, metricsPort: ports.metrics };
+    return new SoakProcess(`agent-${name}`, PlatformMain.agent, settings, options, this.history);
   }
 
   private writeConfiguration(): void {
     this.configurationVersion += 1;
     const { configurationVersion: version, keys, origin, extraRoutes } = this;
-    this.store.write('op/config', configurationOf(version, keys, origin.address, extraRoutes));
+    this.store.write('op/config', buildConfiguration(version, keys, origin.address, extraRoutes));
   }
 }
--- a/bench/src/soak/history.ts
+++ b/bench/src/soak/history.ts
@@ -1,46 +1,46 @@
 import { performance } from 'node:perf_hooks';
 import type { SoakRoute } from './shape.js';
 
-/** Promises that a soak checks, with what breaks each. */
+/** Rules that a soak checks; each comment describes the violation. */
 export const SoakRule = {
-  /** A success whose body is cut, changed or of another request. */
+  /** A successful response whose body is truncated, altered or belongs to another request. */
   whole: 'whole',
-  /** A request that is not idempotent ran more than once. */
+  /** A non-idempotent request ran more than once. */
   atMostOnce: 'atMostOnce',
-  /** A request that is not idempotent ran although its refusal says that it has not. */
+  /** A non-idempotent request ran although its rejection says that it was not executed. */
   refusal: 'refusal',
-  /** A stream has a gap or a doubled event, or ended before its last one. */
+  /** A stream has a missing or duplicate event, or ended before the last event. */
   stream: 'stream',
-  /** A run made events with more than one version of the weights. */
+  /** One run produced events with more than one version of the weights. */
   version: 'version',
-  /** Weights were loaded with a piece missing or wrong. */
+  /** Weights were loaded with a missing or corrupt piece. */
   weights: 'weights',
-  /** A request ran whose key had been taken away. */
+  /** A request ran although its API key had been revoked. */
   key: 'key',
-  /** More repeats in a window than operators allow. */
+  /** More retries in a window than the configured budget allows. */
   budget: 'budget',
-  /** A request reached an endpoint with another body, path, workspace or more time than its caller gave. */
+  /** A request reached an endpoint with a different body, path or workspace, or a longer deadline than its caller sent. */
   asked: 'asked',
-  /** A request reached an endpoint that had left. */
+  /** A request reached an endpoint after its drain had ended. */
   drain: 'drain',
-  /** A process that was not harmed cut a request that it had passed on, without an answer. */
+  /** An undisturbed entry closed the connection of a forwarded request without a complete response. */
   lost: 'lost',
-  /** A request had no end long after its time. */
+  /** A request was still open long after its deadline. */
   answered: 'answered',
-  /** A program ended by itself, or not when it was asked to. */
+  /** A program exited without being asked to, or did not exit in time when asked. */
   process: 'process',
-  /** After the faults were healed something did not work again. */
+  /** Something did not recover after all faults were reverted. */
   recovery: 'recovery',
 } as const;
 
 /** One of the values of {@link SoakRule}. */
 export type SoakRule = (typeof SoakRule)[keyof typeof SoakRule];
 
-/** A promise that was broken. */
+/** A violated rule. */
 export interface Violation {
   readonly rule: SoakRule;
   readonly text: string;
-  /** Time of the run, in milliseconds. */
+  /** Milliseconds since the start of the run. */
   readonly atMs: number;
 }
 
@@ -53,131 +53,132 @@
   readonly key: string;
   readonly deadlineMs: number;
   readonly entry: string;
-  /** Time of the run, in milliseconds. */
+  /** Milliseconds since the start of the run. */
   readonly sentAt: number;
 }
 
-/** What became of a request, as its caller saw it. */
-export const RequestEnd = {
+/** The outcome of a request, as its caller saw it. */
+export const RequestOutcome = {
   served: 'served',
-  /** Refused with a status that says that it has not run. */
+  /** Rejected with a status that says that it was not executed. */
   refused: 'refused',
   failed: 'failed',
-  /** The connection ended before the whole answer. */
+  /** The connection ended before the complete response. */
   cut: 'cut',
-  /** No connection came to be. */
+  /** The connection was refused. */
   unreached: 'unreached',
-  /** The caller left. */
+  /** The caller disconnected. */
   left: 'left',
 } as const;
 
-/** One of the values of {@link RequestEnd}. */
-export type RequestEnd = (typeof RequestEnd)[keyof typeof RequestEnd];
+/** One of the values of {@link RequestOutcome}. */
+export type RequestOutcome = (typeof RequestOutcome)[keyof typeof RequestOutcome];
 
-/** An arrival of a request at an endpoint, whether it ran or was refused. */
+/** An arrival of a request at an endpoint, whether it was executed or rejected. */
 interface Arrival {
   readonly id: string;
   readonly service: string;
-  readonly at: number;
-  readonly isRepeat: boolean;
+  readonly arrivedAt: number;
+  readonly isRetry: boolean;
 }
 
-/** Name of the faults that hit a process without notice, besides those of its links. */
-export function harmOf(process: string): string {
+/** Name under which faults that hit a process itself without notice are tracked; link faults are not included. */
+export function getAbruptFaultName(process: string): string {
   return `${process} without notice`;
 }
 
-/** Faults that work on a process, a link or the store. */
-interface Disturbance {
+/** Faults that affect a process, an engine or the store. */
+interface FaultState {
+  /** Number of faults in effect. */
   active: number;
-  /** Time of the run, in milliseconds. */
+  /** Milliseconds since the start of the run. */
   endedAt: number;
 }
 
-/** Everything that callers and endpoints have seen. */
+/** Records what callers and endpoints observe, and the faults in effect. */
 export class SoakHistory {
   readonly violations: Violation[] = [];
 
-  readonly notes: { readonly text: string; readonly atMs: number }[] = [];
+  readonly actions: { readonly text: string; readonly atMs: number }[] = [];
 
   readonly requests = new Map<string, SentRequest>();
 
-  readonly ends = new Map<string, RequestEnd>();
+  readonly outcomes = new Map<string, RequestOutcome>();
 
-  /** Engines that ran each request, once for each run. */
+  /** Engines that executed each request, one item per execution. */
   readonly runs = new Map<string, string[]>();
 
   readonly arrivals: Arrival[] = [];
 
-  private readonly arrived = new Set<string>();
+  private readonly arrivedIds = new Set<string>();
 
-  private readonly disturbances = new Map<string, Disturbance>();
+  private readonly faultStates = new Map<string, FaultState>();
 
   private readonly startedAt = performance.now();
 
-  /** Time of the run, in milliseconds. */
+  /** Milliseconds since the start of the run. */
   now(): number {
     return performance.now() - this.startedAt;
   }
 
-  /** Notes what was done to the fleet. */
-  note(text: string): void {
-    this.notes.push({ text, atMs: Math.round(this.now()) });
+  /** Records an action on the fleet, such as a fault. */
+  recordAction(text: string): void {
+    this.actions.push({ text, atMs: Math.round(this.now()) });
   }
 
-  violate(rule: SoakRule, text: string): void {
+  recordViolation(rule: SoakRule, text: string): void {
     this.violations.push({ rule, text, atMs: Math.round(this.now()) });
   }
 
-  /** A fault begins; returns what ends it. */
-  disturb(names: readonly string[]): () => void {
-    const each = names.map((name) => {
-      const disturbance = this.disturbances.get(name) ?? { active: 0, endedAt: -Infinity };
-      this.disturbances.set(name, disturbance);
-      return disturbance;
+  /** Marks a fault on these names as in effect; returns a function that ends it. */
+  beginFault(names: readonly string[]): () => void {
+    const states = names.map((name) => {
+      const state = this.faultStates.get(name) ?? { active: 0, endedAt: -Infinity };
+      this.faultStates.set(name, state);
+      return state;
     });
-    each.forEach((disturbance) => Object.assign(disturbance, { active: disturbance.active + 1 }));
+    states.forEach((state) => Object.assign(state, { active: state.active + 1 }));
     return () =>
-      each.forEach((disturbance) => {
-        Object.assign(disturbance, { active: disturbance.active - 1, endedAt: this.now() });
+      states.forEach((state) => {
+        Object.assign(state, { active: state.active - 1, endedAt: this.now() });
       });
   }
 
-  /** Whether no fault has worked on any of these for a time. */
-  isQuiet(names: readonly string[], forMs: number): boolean {
+  /** Whether no fault has affected any of these names for more than `forMs`. */
+  isUndisturbed(names: readonly string[], forMs: number): boolean {
     return names.every((name) => {
-      const { active, endedAt } = this.disturbances.get(name) ?? { active: 0, endedAt: -Infinity };
+      const { active, endedAt } = this.faultStates.get(name) ?? { active: 0, endedAt: -Infinity };
       return active === 0 && this.now() - endedAt > forMs;
     });
   }
 
-  sent(request: SentRequest): void {
+  recordSent(request: SentRequest): void {
     this.requests.set(request.id, request);
   }
 
-  ended(id: string, end: RequestEnd): void {
-    this.ends.set(id, end);
+  recordOutcome(id: string, outcome: RequestOutcome): void {
+    this.outcomes.set(id, outcome);
   }
 
-  /** A request has reached an endpoint; returns what its caller sent. */
-  reached(id: string, service: string): SentRequest | undefined {
-    const isRepeat = this.arrived.has(id);
-    this.arrived.add(id);
-    this.arrivals.push({ id, service, at: this.now(), isRepeat });
+  /** Records the arrival of a request at an endpoint; returns the request as its caller sent it. */
+  recordArrival(id: string, service: string): SentRequest | undefined {
+    const isRetry = this.arrivedIds.has(id);
+    this.arrivedIds.add(id);
+    this.arrivals.push({ id, service, arrivedAt: this.now(), isRetry });
     return this.requests.get(id);
   }
 
-  /** An endpoint has begun to run a request. */
-  ran(id: string, engine: string): void {
+  /** Records that an endpoint started to execute a request. */
+  recordRun(id: string, engine: string): void {
     const runs = this.runs.get(id) ?? [];
     this.runs.set(id, [...runs, engine]);
   }
 
-  /** How many requests came to each end, by route. */
-  counts(): Record<string, number> {
+  /** Counts the requests by route and outcome. */
+  countOutcomes(): Record<string, number> {
     const counts: Record<string, number> = {};
-    this.ends.forEach((end, id) => {
-      const name = `${this.requests.get(id)?.route.name} ${end}`;
+    this.outcomes.forEach((outcome, id) => {
+      const name = `${this.requests.get(id)?.route.name} ${outcome}`;
       counts[name] = (counts[name] ?? 0) + 1;
     });
     return counts;
--- a/bench/src/soak/origin.ts
+++ b/bench/src/soak/origin.ts
@@ -7,22 +7,22 @@
 
 const { name: model, pieces, pieceBytes } = soakModel;
 
-/** The right bytes of a piece. */
-export function pieceOf(version: number, piece: number): Buffer {
+/** Builds the correct bytes of a piece. */
+export function buildPiece(version: number, piece: number): Buffer {
   const content = makeContent(model, String(version), pieces * pieceBytes);
   return content.subarray(piece * pieceBytes, (piece + 1) * pieceBytes);
 }
 
-function digestOf(bytes: Buffer): string {
+function computeDigest(bytes: Buffer): string {
   return createHash('sha256').update(bytes).digest('hex');
 }
 
-/** The origin of weights as the users' platform has it. */
+/** A stand-in for the origin of weights on the users' platform. */
 export class SoakOrigin {
-  /** Share of pieces that are sent corrupt. */
-  corrupts = 0;
+  /** Share of pieces to corrupt, from 0 to 1. */
+  corruptShare = 0;
 
-  private sent = 0;
+  private sentPieces = 0;
 
   private readonly server: Server;
 
@@ -32,10 +32,10 @@
       const version = Number(searchParams.get('Version'));
       if (pathname.startsWith('/-/manifest/')) {
         const Digests = Array.from({ length: pieces }, (_, piece) =>
-          digestOf(pieceOf(version, piece)),
+          computeDigest(buildPiece(version, piece)),
         );
         response.end(JSON.stringify({ Model: model, Version: version, Digests }));
-      } else response.end(this.send(pieceOf(version, Number(searchParams.get('Num')))));
+      } else response.end(this.corruptSome(buildPiece(version, Number(searchParams.get('Num')))));
     });
   }
 
@@ -56,9 +56,10 @@
     this.server.closeAllConnections();
   }
 
-  private send(bytes: Buffer): Buffer {
-    this.sent += 1;
-    const isCorrupt = this.corrupts > 0 && this.sent % Math.round(1 / this.corrupts) === 0;
+  private corruptSome(bytes: Buffer): Buffer {
+    this.sentPieces += 1;
+    const isCorrupt =
+      this.corruptShare > 0 && this.sentPieces % Math.round(1 / this.corruptShare) === 0;
     return isCorrupt ? Buffer.from('corrupt') : bytes;
   }
 }
--- a/bench/src/soak/pause.ts
+++ b/bench/src/soak/pause.ts
@@ -1,13 +1,13 @@
 import { setMaxListeners } from 'node:events';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** Waits for a time, or until the signal fires. */
-export async function pause(ms: number, signal: AbortSignal): Promise<void> {
+/** Sleeps for a time, or until the signal fires; never rejects. */
+export async function interruptibleSleep(ms: number, signal: AbortSignal): Promise<void> {
   await sleep(ms, undefined, { signal }).catch(() => undefined);
 }
 
-/** A signal that fires with either, for any number of listeners. */
-export function anyOf(...signals: AbortSignal[]): AbortSignal {
+/** Combines signals into one that fires with the first of them, without a listener limit. */
+export function anySignal(...signals: AbortSignal[]): AbortSignal {
   const signal = AbortSignal.any(signals);
   setMaxListeners(0, signal, ...signals);
   return signal;
--- a/bench/src/soak/process.ts
+++ b/bench/src/soak/process.ts
@@ -8,39 +8,41 @@
 import type { SoakHistory } from './history.js';
 import { SoakBounds } from './shape.js';
 
-/** Time beyond the bound in which a program that was asked to stop has to end, in milliseconds. */
-const stopSlackMs = 4_000;
-/** Time in which a new process has to say that it has started, in milliseconds. */
-const startMs = 20_000;
-const startLookMs = 50;
-
-/** How a soak runs its programs. */
-export interface ProcessChoices {
+/** Time beyond the shutdown bound before a stopping program is killed, in milliseconds. */
+const stopMarginMs = 4_000;
+/** Time limit for a new process to write its first log line, in milliseconds. */
+const startTimeoutMs = 20_000;
+const startPollMs = 50;
+
+/** How a soak runs a program. */
+export interface ProcessOptions {
+  /** Directory of the built programs. */
   readonly directory: string;
+  /** Directory of the log files. */
   readonly logs: string;
   readonly metricsPort: number;
 }
 
-/** A program of the product under faults: its ends are asked for, or count as broken promises. */
+/** A program under test; an exit that the soak did not request is a violation. */
 export class SoakProcess {
   private readonly program: PlatformProgram;
 
   private readonly log: number;
 
-  /** Counts the starts, so that an older start's end is not taken for a newer one's. */
+  /** Number of starts, to match an exit with the start that it belongs to. */
   private starts = 0;
 
-  /** Whether an end is asked for. */
-  private isEnding = true;
+  /** Whether the soak has requested the exit. */
+  private isExitExpected = true;
 
   private isKilled = false;
 
-  /** Bytes of the log before the last start. */
-  private loggedBefore = 0;
+  /** Size of the log at the last start, in bytes. */
+  private logSizeAtStart = 0;
 
-  private isClaimed = false;
+  private isRestarting = false;
 
-  /** Whether it was paused since it was last asked to stop. */
+  /** Whether it was paused since it was last asked to stop; a paused process may miss the shutdown bound. */
   private wasPaused = false;
 
   private isPaused = false;
@@ -49,10 +51,10 @@
     readonly name: string,
     main: PlatformMain,
     settings: SettingsLines,
-    choices: ProcessChoices,
+    options: ProcessOptions,
     private readonly history: SoakHistory,
   ) {
-    const { directory, logs, metricsPort } = choices;
+    const { directory, logs, metricsPort } = options;
     this.log = openSync(join(logs, `${name}.log`), 'a');
     this.program = new PlatformProgram({ main, directory, log: this.log, metricsPort });
     this.program.write(settings);
@@ -64,28 +66,28 @@
 
   async start(): Promise<void> {
     this.starts += 1;
-    this.isEnding = false;
+    this.isExitExpected = false;
     this.isKilled = false;
-    this.loggedBefore = this.logged;
+    this.logSizeAtStart = this.logSize;
     this.isPaused = false;
     await this.program.start();
-    void this.watch(this.starts);
+    void this.watchExit(this.starts);
   }
 
-  /** Starts the process and waits until it has said so; throws when it cannot be started. */
-  async startFirst(): Promise<void> {
+  /** Starts the process and waits for its first log line; throws a `Failure` when it cannot be started. */
+  async startAndWait(): Promise<void> {
     await this.start();
-    const lateAt = this.history.now() + startMs;
-    while (this.logged === this.loggedBefore) {
-      if (!this.isRunning || this.history.now() > lateAt) {
-        const said = /^\w*Error.*$/m.exec(this.program.errors)?.[0] ?? this.program.errors.trim();
-        throw new Failure('process_not_started', `${this.name} can't be started: ${said}`);
+    const deadline = this.history.now() + startTimeoutMs;
+    while (this.logSize === this.logSizeAtStart) {
+      if (!this.isRunning || this.history.now() > deadline) {
+        const reason = /^\w*Error.*$/m.exec(this.program.errors)?.[0] ?? this.program.errors.trim();
+        throw new Failure('process_not_started', `${this.name} can't be started: ${reason}`);
       }
-      await sleep(startLookMs);
+      await sleep(startPollMs);
     }
   }
 
-  /** Pauses the process; what is asked of it meanwhile comes late. */
+  /** Suspends the process with SIGSTOP. */
   pause(): void {
     this.isPaused = true;
     this.wasPaused = true;
@@ -97,36 +99,36 @@
     if (this.isRunning) this.program.signal('SIGCONT');
   }
 
-  /** Ends and starts the process by `work`, unless that is being done already. */
-  async exclusively(work: () => Promise<void>): Promise<void> {
-    if (this.isClaimed) return;
-    this.isClaimed = true;
+  /** Runs `work`, which stops and starts the process, unless another restart is in progress. */
+  async restartExclusively(work: () => Promise<void>): Promise<void> {
+    if (this.isRestarting) return;
+    this.isRestarting = true;
     try {
       await work();
     } finally {
-      this.isClaimed = false;
+      this.isRestarting = false;
     }
   }
 
-  /** Asks the program to stop, and kills it when it does not. */
+  /** Sends SIGTERM, and kills the program when it does not exit in time. */
   async stop(): Promise<void> {
     if (!this.isRunning) return;
-    this.isEnding = true;
+    this.isExitExpected = true;
     this.wasPaused = this.isPaused;
     this.program.signal('SIGTERM');
-    const limitMs = SoakBounds.shutdownMs + stopSlackMs;
-    const late = sleep(limitMs, 'late' as const, { ref: false });
-    const end = await Promise.race([this.program.ended(), late]);
-    // A program that has not come so far as to write a line is ended by the signal itself.
-    const hadStarted = this.logged > this.loggedBefore;
-    if (end !== 0 && hadStarted && !this.isKilled && !this.wasPaused) {
-      this.history.violate(SoakRule.process, `${this.name} ended as ${end} after SIGTERM`);
+    const limitMs = SoakBounds.shutdownMs + stopMarginMs;
+    const timeout = sleep(limitMs, 'late' as const, { ref: false });
+    const exit = await Promise.race([this.program.ended(), timeout]);
+    // Before its first log line a program has no signal handler yet, so SIGTERM itself ends it.
+    const hadStarted = this.logSize > this.logSizeAtStart;
+    if (exit !== 0 && hadStarted && !this.isKilled && !this.wasPaused) {
+      this.history.recordViolation(SoakRule.process, `${this.name} ended as ${exit} after SIGTERM`);
     }
     await this.kill();
   }
 
   async kill(): Promise<void> {
-    this.isEnding = true;
+    this.isExitExpected = true;
     this.isKilled = true;
     if (this.isRunning) this.program.signal('SIGKILL');
     await this.program.ended();
@@ -137,14 +139,14 @@
     closeSync(this.log);
   }
 
-  private get logged(): number {
+  private get logSize(): number {
     return fstatSync(this.log).size;
   }
 
-  private async watch(start: number): Promise<void> {
+  private async watchExit(start: number): Promise<void> {
     const code = await this.program.ended();
-    if (start !== this.starts || this.isEnding) return;
+    if (start !== this.starts || this.isExitExpected) return;
     const text = `${this.name} ended by itself with ${code}: ${this.program.errors.slice(-300)}`;
-    this.history.violate(SoakRule.process, text);
+    this.history.recordViolation(SoakRule.process, text);
   }
 }
--- a/bench/src/soak/shape.ts
+++ b/bench/src/soak/shape.ts
@@ -1,38 +1,42 @@
 import type { SettingsLines } from '../platformProgram.js';
 
-/** What operators allow the fleet of a soak, and how long its requests may take. */
+/** Bounds that operators configure for the fleet of a soak. */
 export const SoakBounds = {
   drainMs: 2_000,
   shutdownMs: 8_000,
   configurationMs: 2_000,
   revocationMs: 5_000,
   retryRatio: 0.05,
-  retrySlack: 10,
+  retryAllowance: 10,
   retryWindowMs: 10_000,
   versionMs: 8_000,
-  /** Time without faults after which a process counts as undisturbed. */
-  contactMs: 3_000,
+  /** Time without faults after which a process counts as undisturbed, in milliseconds. */
+  undisturbedMs: 3_000,
 } as const;
 
-/** How many of each kind a soak runs. */
+/** Number of entries and engines in a soak. */
 export interface SoakShape {
   readonly entries: number;
   /** Model engines, each with an agent. */
-  readonly models: number;
+  readonly modelEngines: number;
   /** Engines of the plain service, without agents. */
-  readonly desks: number;
+  readonly plainEngines: number;
 }
 
 const entryShare = 0.4;
-const fewestEntries = 2;
+const minEntries = 2;
 
-/** The shape of a soak that runs a number of processes. */
-export function shapeOf(processes: number): SoakShape {
-  const entries = Math.max(fewestEntries, Math.round(processes * entryShare));
-  return { entries, models: processes - entries, desks: Math.max(2, Math.round(entries / 2)) };
+/** Derives the shape of a soak from its number of processes. */
+export function getShape(processes: number): SoakShape {
+  const entries = Math.max(minEntries, Math.round(processes * entryShare));
+  return {
+    entries,
+    modelEngines: processes - entries,
+    plainEngines: Math.max(2, Math.round(entries / 2)),
+  };
 }
 
-/** Ports that are the same at each address of a soak. */
+/** Ports that all addresses of a soak share. */
 export interface SoakPorts {
   readonly callers: number;
   readonly readiness: number;
@@ -56,7 +60,7 @@
   readonly isResumable: boolean;
 }
 
-/** Routes that are always there. */
+/** Routes that every configuration contains. */
 export const soakRoutes: readonly SoakRoute[] = [
   { name: 'safe', kind: 'safe', service: 'desk', timeoutMs: 2_500, isResumable: false },
   { name: 'unsafe', kind: 'unsafe', service: 'desk', timeoutMs: 2_500, isResumable: false },
@@ -64,7 +68,7 @@
   { name: 'single', kind: 'stream', service: 'model', timeoutMs: 6_000, isResumable: false },
 ];
 
-/** Whether a request of a route may run more than once. */
+/** Whether requests of a route are idempotent. */
 export function isIdempotent({ kind, isResumable }: SoakRoute): boolean {
   return kind === 'safe' || (kind === 'stream' && isResumable);
 }
@@ -72,7 +76,7 @@
 /** The host of all routes. */
 export const soakHost = 'soak.example';
 
-function wireRoute({ name, kind, service, timeoutMs, isResumable }: SoakRoute): object {
+function toWireRoute({ name, kind, service, timeoutMs, isResumable }: SoakRoute): object {
   return {
     Name: name,
     Host: soakHost,
@@ -87,8 +91,8 @@
   };
 }
 
-/** What operators write as the configuration. */
-export function configurationOf(
+/** Builds the configuration as operators write it to the store. */
+export function buildConfiguration(
   version: number,
   keys: readonly string[],
   origin: string,
@@ -111,7 +115,7 @@
   };
   return {
     Version: version,
-    Routes: [...soakRoutes, ...extraRoutes].map(wireRoute),
+    Routes: [...soakRoutes, ...extraRoutes].map(toWireRoute),
     Services: [
       { Name: SoakService.desk, MaxConns: 100 },
       { Name: SoakService.model, MaxConns: 200, Engine: engine },
@@ -127,8 +131,8 @@
   };
 }
 
-/** Lines of a program's settings file that all programs share. */
-export function settingsOf(
+/** Builds the settings that all programs share. */
+export function buildSettings(
   name: string,
   host: string,
   store: string,
@@ -152,7 +156,7 @@
     'Bounds.RevokeMs': String(SoakBounds.revocationMs),
     'Bounds.RetryBudget': String(SoakBounds.retryRatio),
     'Bounds.BudgetWindowS': String(SoakBounds.retryWindowMs / 1_000),
-    'Bounds.RetrySlack': String(SoakBounds.retrySlack),
+    'Bounds.RetrySlack': String(SoakBounds.retryAllowance),
     'Bounds.ColdOverage': '1.5',
     'Bounds.ColdSlack': '5',
     'Bounds.EvacuateMs': '5000',
--- a/bench/src/soak/soakRun.ts
+++ b/bench/src/soak/soakRun.ts
@@ -6,178 +6,189 @@
 import { SoakCaller } from './caller.js';
 import { checkHistory } from './checks.js';
 import { soakFaults } from './faults.js';
-import { reviveEngines } from './faults/engineFaults.js';
+import { restartEngines } from './faults/engineFaults.js';
 import { SoakFleet } from './fleet.js';
-import { RequestEnd, SoakHistory, SoakRule, harmOf } from './history.js';
+import { RequestOutcome, SoakHistory, SoakRule, getAbruptFaultName } from './history.js';
 import type { Violation } from './history.js';
-import { anyOf, pause } from './pause.js';
-import { StallWatch } from './stallWatch.js';
-import { SoakService, shapeOf, soakRoutes } from './shape.js';
+import { anySignal, interruptibleSleep } from './pause.js';
+import { StallDetector } from './stallWatch.js';
+import { SoakService, getShape, soakRoutes } from './shape.js';
 
-/** What a soak is to do. */
-export interface SoakChoices {
+/** Options of a soak. */
+export interface SoakOptions {
   readonly seed: number;
   readonly minutes: number;
   readonly processes: number;
-  /** Kinds of faults; all when it is empty. */
+  /** Names of the faults to inject; empty means all. */
   readonly faults: readonly string[];
   /** Directory of the built programs. */
   readonly directory: string;
 }
 
-/** What a soak has seen. */
+/** Results of a soak. */
 export interface SoakReport {
   readonly violations: readonly Violation[];
-  /** Requests by route and end. */
+  /** Number of requests by route and outcome. */
   readonly counts: Readonly<Record<string, number>>;
-  /** Faults that were caused, by kind. */
+  /** Number of injected faults by name. */
   readonly faults: Readonly<Record<string, number>>;
-  /** Time of served requests that nine in ten and ninety-nine in a hundred need, in milliseconds. */
+  /** Latency percentiles of served requests, in milliseconds. */
   readonly p90Ms: number;
   readonly p99Ms: number;
-  /** Times that the soak itself stood still, and the longest of them, in milliseconds. */
+  /** Number of stalls of the soak process itself, and the longest one in milliseconds. */
   readonly stalls: number;
-  readonly longestStallMs: number;
-  /** Where the programs' logs are. */
+  readonly maxStallMs: number;
+  /** Directory of the programs' logs. */
   readonly logs: string;
 }
 
 const minuteMs = 60_000;
-const callersEach = 4;
-const longestStormMs = 20_000;
-const shortestStormMs = 6_000;
-const stormShare = 0.6;
-const shortestFaultMs = 200;
-const longestFaultMs = 4_000;
-/** Some faults last long enough that what is known runs out. */
+const callersPerEntry = 4;
+const maxFaultPhaseMs = 20_000;
+const minFaultPhaseMs = 6_000;
+const faultPhaseShare = 0.6;
+const minFaultMs = 200;
+const maxFaultMs = 4_000;
+/** Share of faults that last long enough for leases and cached state to expire. */
 const longFaultShare = 0.15;
-const longestLongFaultMs = 9_000;
-const shortestGapMs = 150;
-const longestGapMs = 1_200;
-/** Time in which everything works again after the last fault, in milliseconds. */
-const recoveryMs = 30_000;
-const probeGapMs = 250;
-const startMs = 20_000;
-
-/** One run of the programs under faults. */
+const maxLongFaultMs = 9_000;
+const minFaultGapMs = 150;
+const maxFaultGapMs = 1_200;
+/** Time limit for full recovery after the last fault, in milliseconds. */
+const recoveryTimeoutMs = 30_000;
+const probeIntervalMs = 250;
+const startTimeoutMs = 20_000;
+
+/** One run of the programs under faults, alternating fault phases and recovery checks. */
 export class SoakRun {
   private readonly history = new SoakHistory();
 
   private readonly random: Random;
 
-  private readonly faults: Record<string, number> = {};
+  private readonly faultCounts: Record<string, number> = {};
 
   private readonly callers: SoakCaller[] = [];
 
-  private readonly kinds: readonly string[];
+  private readonly faultKinds: readonly string[];
 
-  constructor(private readonly choices: SoakChoices) {
-    this.random = new SeededRandom(choices.seed);
-    this.kinds = choices.faults.length > 0 ? choices.faults : Object.keys(soakFaults);
+  constructor(private readonly options: SoakOptions) {
+    this.random = new SeededRandom(options.seed);
+    this.faultKinds = options.faults.length > 0 ? options.faults : Object.keys(soakFaults);
   }
 
-  /** Runs and checks; leaves no process behind. */
+  /** Runs the soak and checks its history; leaves no process behind. */
   async run(stopped: AbortSignal): Promise<SoakReport> {
-    const { seed, processes, directory } = this.choices;
-    const fleet = await SoakFleet.start(shapeOf(processes), seed, this.history, directory);
-    const names = fleet.endpoints.map(({ engine }) => engine.name);
-    const harms = fleet.entries.flatMap(({ name }) => [name, harmOf(name)]);
-    const stalls = new StallWatch(this.history, [...names, ...harms]);
+    const { seed, processes, directory } = this.options;
+    const fleet = await SoakFleet.start(getShape(processes), seed, this.history, directory);
+    const engineNames = fleet.endpoints.map(({ engine }) => engine.name);
+    const entryFaultNames = fleet.entries.flatMap(({ name }) => [name, getAbruptFaultName(name)]);
+    const stalls = new StallDetector(this.history, [...engineNames, ...entryFaultNames]);
     try {
-      if (await this.works(fleet, startMs, stopped)) await this.stormsAndCalms(fleet, stopped);
+      if (await this.checkWorking(fleet, startTimeoutMs, stopped))
+        await this.runPhases(fleet, stopped);
       await Promise.all(fleet.processes.map((each) => each.stop()));
     } finally {
-      stalls.end();
+      stalls.stop();
       this.callers.forEach((caller) => caller.close());
       await fleet.close();
     }
     checkHistory(this.history, [SoakService.desk, SoakService.model]);
     if (this.history.violations.length === 0) rmSync(fleet.logs, { recursive: true });
-    else this.keepNotes(fleet.logs);
-    return this.report(fleet.logs, stalls);
+    else this.writeFaultLog(fleet.logs);
+    return this.buildReport(fleet.logs, stalls);
   }
 
-  private async stormsAndCalms(fleet: SoakFleet, stopped: AbortSignal): Promise<void> {
-    const endAt = this.history.now() + this.choices.minutes * minuteMs;
-    const load = new AbortController();
-    const ended = anyOf(load.signal, stopped);
-    const callers = this.startCallers(fleet, ended);
+  private async runPhases(fleet: SoakFleet, stopped: AbortSignal): Promise<void> {
+    const endAt = this.history.now() + this.options.minutes * minuteMs;
+    const stopCallers = new AbortController();
+    const callersStopped = anySignal(stopCallers.signal, stopped);
+    const callers = this.startCallers(fleet, callersStopped);
     do {
       const leftMs = endAt - this.history.now();
-      await this.storm(fleet, Math.min(longestStormMs, leftMs * stormShare), stopped);
-      await this.works(fleet, recoveryMs, stopped);
-    } while (endAt - this.history.now() > shortestStormMs && !stopped.aborted);
-    load.abort();
+      await this.runFaultPhase(fleet, Math.min(maxFaultPhaseMs, leftMs * faultPhaseShare), stopped);
+      await this.checkWorking(fleet, recoveryTimeoutMs, stopped);
+    } while (endAt - this.history.now() > minFaultPhaseMs && !stopped.aborted);
+    stopCallers.abort();
     await callers;
   }
 
   private startCallers(fleet: SoakFleet, signal: AbortSignal): Promise<unknown> {
-    const fresh = fleet.entries.flatMap((entry, place) =>
-      Array.from({ length: callersEach }, (_, index) => {
-        const random = new SeededRandom(this.choices.seed * 7_919 + place * callersEach + index);
-        return new SoakCaller(`c${place + 1}.${index + 1}`, {
+    const callers = fleet.entries.flatMap((entry, entryIndex) =>
+      Array.from({ length: callersPerEntry }, (_, index) => {
+        const random = new SeededRandom(
+          this.options.seed * 7_919 + entryIndex * callersPerEntry + index,
+        );
+        return new SoakCaller(`c${entryIndex + 1}.${index + 1}`, {
           entry: entry.name,
           host: entry.host,
           port: fleet.callersPort,
           history: this.history,
           random,
-          key: () => fleet.anyKey(random.next()),
+          pickKey: () => fleet.pickKey(random.next()),
         });
       }),
     );
-    this.callers.push(...fresh);
-    return Promise.all(fresh.map((caller) => caller.run(signal)));
+    this.callers.push(...callers);
+    return Promise.all(callers.map((caller) => caller.run(signal)));
   }
 
-  /** Faults that overlap; ends when all are healed. */
-  private async storm(fleet: SoakFleet, forMs: number, stopped: AbortSignal): Promise<void> {
-    const healing = new AbortController();
-    const signal = anyOf(healing.signal, stopped);
-    const running = [reviveEngines(fleet, this.random, signal)];
+  /** Injects overlapping faults; resolves when all of them are reverted. */
+  private async runFaultPhase(
+    fleet: SoakFleet,
+    forMs: number,
+    stopped: AbortSignal,
+  ): Promise<void> {
+    const phaseEnd = new AbortController();
+    const signal = anySignal(phaseEnd.signal, stopped);
+    const running = [restartEngines(fleet, this.random, signal)];
     const endAt = this.history.now() + forMs;
     while (this.history.now() < endAt && !stopped.aborted) {
-      running.push(this.cause(fleet, signal));
-      await pause(this.between(shortestGapMs, longestGapMs), signal);
+      running.push(this.startFault(fleet, signal));
+      await interruptibleSleep(this.randomBetween(minFaultGapMs, maxFaultGapMs), signal);
     }
-    healing.abort();
+    phaseEnd.abort();
     await Promise.all(running);
-    fleet.revive();
+    fleet.restartDownEngines();
   }
 
-  private cause(fleet: SoakFleet, signal: AbortSignal): Promise<void> {
-    const kind = this.kinds[Math.floor(this.random.next() * this.kinds.length)]!;
-    const lastsMs =
+  private startFault(fleet: SoakFleet, signal: AbortSignal): Promise<void> {
+    const fault = this.faultKinds[Math.floor(this.random.next() * this.faultKinds.length)]!;
+    const durationMs =
       this.random.next() < longFaultShare
-        ? this.between(longestFaultMs, longestLongFaultMs)
-        : this.between(shortestFaultMs, longestFaultMs);
-    this.faults[kind] = (this.faults[kind] ?? 0) + 1;
-    this.history.note(`${kind} for ${Math.round(lastsMs)} ms`);
-    return soakFaults[kind]!({ fleet, random: this.random, lastsMs, signal });
+        ? this.randomBetween(maxFaultMs, maxLongFaultMs)
+        : this.randomBetween(minFaultMs, maxFaultMs);
+    this.faultCounts[fault] = (this.faultCounts[fault] ?? 0) + 1;
+    this.history.recordAction(`${fault} for ${Math.round(durationMs)} ms`);
+    return soakFaults[fault]!({ fleet, random: this.random, durationMs, signal });
   }
 
-  private between(least: number, most: number): number {
-    return least + this.random.next() * (most - least);
+  private randomBetween(min: number, max: number): number {
+    return min + this.random.next() * (max - min);
   }
 
-  /** Whether every entry serves every route, and every engine has the named version, in time. */
-  private async works(fleet: SoakFleet, withinMs: number, stopped: AbortSignal): Promise<boolean> {
+  /** Whether, within the time limit, every entry serves every route and every engine has loaded the target version. */
+  private async checkWorking(
+    fleet: SoakFleet,
+    withinMs: number,
+    stopped: AbortSignal,
+  ): Promise<boolean> {
     const endAt = this.history.now() + withinMs;
-    const entries = fleet.entries.map((entry, place) => {
-      const caller = new SoakCaller(`probe${place + 1}.${Math.round(this.history.now())}`, {
+    const entries = fleet.entries.map((entry, index) => {
+      const caller = new SoakCaller(`probe${index + 1}.${Math.round(this.history.now())}`, {
         entry: entry.name,
         host: entry.host,
         port: fleet.callersPort,
         history: this.history,
-        random: new SeededRandom(this.choices.seed + place),
-        key: () => fleet.goodKey,
+        random: new SeededRandom(this.options.seed + index),
+        pickKey: () => fleet.validKey,
       });
-      return this.serves(entry.name, caller, endAt, stopped);
+      return this.waitUntilServing(entry.name, caller, endAt, stopped);
     });
-    const results = await Promise.all([...entries, this.hasVersion(fleet, endAt, stopped)]);
+    const results = await Promise.all([...entries, this.waitForVersion(fleet, endAt, stopped)]);
     return results.every((each) => each);
   }
 
-  private async serves(
+  private async waitUntilServing(
     entry: string,
     caller: SoakCaller,
     endAt: number,
@@ -185,13 +196,16 @@
   ): Promise<boolean> {
     try {
       for (const route of soakRoutes) {
-        while ((await caller.send(route)) !== RequestEnd.served) {
+        while ((await caller.send(route)) !== RequestOutcome.served) {
           if (stopped.aborted) return false;
           if (this.history.now() > endAt) {
-            this.history.violate(SoakRule.recovery, `${entry} does not serve ${route.name} again`);
+            this.history.recordViolation(
+              SoakRule.recovery,
+              `${entry} does not serve ${route.name} again`,
+            );
             return false;
           }
-          await pause(probeGapMs, stopped);
+          await interruptibleSleep(probeIntervalMs, stopped);
         }
       }
       return true;
@@ -200,44 +214,44 @@
     }
   }
 
-  private async hasVersion(
+  private async waitForVersion(
     fleet: SoakFleet,
     endAt: number,
     stopped: AbortSignal,
   ): Promise<boolean> {
-    const late = (): string[] =>
+    const findOutdated = (): string[] =>
       fleet.endpoints
-        .filter(({ engine }) => engine.weights && engine.version !== fleet.namedVersion)
+        .filter(({ engine }) => engine.weights && engine.version !== fleet.targetVersion)
         .map(({ engine }) => `${engine.id} with ${engine.version}`);
-    while (late().length > 0) {
+    while (findOutdated().length > 0) {
       if (stopped.aborted) return false;
       if (this.history.now() > endAt) {
-        const text = `not at version ${fleet.namedVersion}: ${late().join(', ')}`;
-        this.history.violate(SoakRule.recovery, text);
+        const text = `not at version ${fleet.targetVersion}: ${findOutdated().join(', ')}`;
+        this.history.recordViolation(SoakRule.recovery, text);
         return false;
       }
-      await pause(probeGapMs, stopped);
+      await interruptibleSleep(probeIntervalMs, stopped);
     }
     return true;
   }
 
-  /** Writes when each fault began beside the programs' logs. */
-  private keepNotes(logs: string): void {
-    const lines = this.history.notes.map(({ text, atMs }) => `${atMs} ms: ${text}\n`);
+  /** Writes the start time of each fault into the directory of the programs' logs. */
+  private writeFaultLog(logs: string): void {
+    const lines = this.history.actions.map(({ text, atMs }) => `${atMs} ms: ${text}\n`);
     writeFileSync(join(logs, 'faults.log'), lines.join(''));
   }
 
-  private report(logs: string, { count, longestMs }: StallWatch): SoakReport {
-    const times = build();
-    this.callers.forEach((caller) => times.add(caller.times));
+  private buildReport(logs: string, { count, maxStallMs }: StallDetector): SoakReport {
+    const latencies = build();
+    this.callers.forEach((caller) => latencies.add(caller.latencies));
     return {
       violations: this.history.violations,
-      counts: this.history.counts(),
-      faults: this.faults,
-      p90Ms: times.getValueAtPercentile(90),
-      p99Ms: times.getValueAtPercentile(99),
+      counts: this.history.countOutcomes(),
+      faults: this.faultCounts,
+      p90Ms: latencies.getValueAtPercentile(90),
+      p99Ms: latencies.getValueAtPercentile(99),
       stalls: count,
-      longestStallMs: longestMs,
+      maxStallMs,
       logs,
     };
   }
--- a/bench/src/soak/stallWatch.ts
+++ b/bench/src/soak/stallWatch.ts
@@ -1,34 +1,35 @@
 import type { SoakHistory } from './history.js';
 
-const lookMs = 50;
-/** Delay of a look after which this process counts as having stood still, in milliseconds. */
-const stallMs = 250;
+const checkIntervalMs = 50;
+/** Lateness of a check that counts as a stall of this process, in milliseconds. */
+const stallThresholdMs = 250;
 
 /**
- * Notes when the soak itself stood still: its engines were silent then, and the programs may have
- * stood still, too.
+ * Detects stalls of the soak process and records them as faults: its engines were silent
+ * meanwhile, and the programs under test may have stalled too.
  */
-export class StallWatch {
-  /** Times that the soak stood still. */
+export class StallDetector {
+  /** Number of detected stalls. */
   count = 0;
 
-  longestMs = 0;
+  /** Longest lateness of a check, in milliseconds. */
+  maxStallMs = 0;
 
   private readonly timer: NodeJS.Timeout;
 
   constructor(history: SoakHistory, names: readonly string[]) {
     let last = history.now();
     this.timer = setInterval(() => {
-      const lateMs = history.now() - last - lookMs;
+      const lateMs = history.now() - last - checkIntervalMs;
       last = history.now();
-      this.longestMs = Math.max(this.longestMs, Math.round(lateMs));
-      if (lateMs < stallMs) return;
+      this.maxStallMs = Math.max(this.maxStallMs, Math.round(lateMs));
+      if (lateMs < stallThresholdMs) return;
       this.count += 1;
-      history.disturb(names)();
-    }, lookMs);
+      history.beginFault(names)();
+    }, checkIntervalMs);
   }
 
-  end(): void {
+  stop(): void {
     clearInterval(this.timer);
   }
 }
--- a/bench/src/soak/weights.ts
+++ b/bench/src/soak/weights.ts
@@ -1,109 +1,116 @@
-import { pieceOf } from './origin.js';
+import { buildPiece } from './origin.js';
 import { soakModel } from './shape.js';
 
 const { name: model, pieces, layers } = soakModel;
 const loadMs = 100;
-/** Orders of the agent that begin nothing. */
-const conflict = 409;
+/** Status of orders that are not accepted. */
+const conflictStatus = 409;
 
-/** A status and a body. */
-export interface WeightAnswer {
+/** Status and body of a response to the agent. */
+export interface WeightResponse {
   readonly status: number;
   readonly body: Buffer | string;
 }
 
-const answered = (status: number, value: object = {}): WeightAnswer => ({
+const jsonResponse = (status: number, value: object = {}): WeightResponse => ({
   status,
   body: JSON.stringify(value),
 });
 
-/** What an engine holds of its model, and the orders of the agent beside it. */
+/** The staged and loaded weights of a simulated engine, and the load orders of its agent. */
 export class EngineWeights {
+  /** Version of the loaded weights; 0 for none. */
   version = 1;
 
-  /** Whether a load has begun, so that nothing new is accepted. */
-  isBusy = false;
+  /** Whether a load is pending or running; new requests are rejected meanwhile. */
+  isLoading = false;
 
-  private orders = 0;
+  private orderCount = 0;
 
-  private ordered = 0;
+  private orderedVersion = 0;
 
   private readonly staged = new Map<number, Buffer>();
 
   constructor(
-    private readonly running: () => number,
+    private readonly getRunning: () => number,
     private readonly onLoaded: () => void,
-    private readonly onBroken: (text: string) => void,
+    private readonly onViolation: (text: string) => void,
   ) {}
 
-  /** Layers as engines tell them; null for none. */
+  /** Loaded layers in the format of engine reports; null for none. */
   get layers(): object | null {
     return this.version > 0 ? { From: 0, To: layers, Version: this.version } : null;
   }
 
-  /** The engine has started anew; what is staged stays. */
-  forget(): void {
+  /** Resets the state after a restart; staged pieces are kept. */
+  reset(): void {
     this.version = 0;
-    this.orders = 0;
-    this.isBusy = false;
+    this.orderCount = 0;
+    this.isLoading = false;
   }
 
-  /** Nothing runs: a load that waits for that begins. */
-  idle(): void {
-    if (!this.isBusy || this.running() > 0) return;
-    const { orders } = this;
-    setTimeout(() => this.finishLoad(orders), loadMs);
+  /** Starts a pending load if no request is running. */
+  loadIfIdle(): void {
+    if (!this.isLoading || this.getRunning() > 0) return;
+    const { orderCount } = this;
+    setTimeout(() => this.finishLoad(orderCount), loadMs);
   }
 
-  /** Answers a call of the agent; undefined for an unknown one. */
-  serve(url: string, body: Buffer, report: object): WeightAnswer | undefined {
+  /** Handles a call of the agent; returns undefined for unknown calls. */
+  handleCall(url: string, body: Buffer, report: object): WeightResponse | undefined {
     const { pathname, searchParams } = new URL(url, 'http://engine');
-    const [, , call = '', of = ''] = pathname.split('/');
+    const [, , call = '', calledModel = ''] = pathname.split('/');
     const piece = Number(searchParams.get('Num') ?? -1);
-    const handlers: Readonly<Record<string, () => WeightAnswer>> = {
+    const handlers: Readonly<Record<string, () => WeightResponse>> = {
       report: () =>
-        answered(200, { ...report, Busy: this.isBusy, Seq: this.orders, layers: this.layers }),
+        jsonResponse(200, {
+          ...report,
+          Busy: this.isLoading,
+          Seq: this.orderCount,
+          layers: this.layers,
+        }),
       'stage-put': () => {
         this.staged.set(piece, body);
-        return answered(200);
+        return jsonResponse(200);
       },
       'stage-get': () => this.readStaged(piece),
-      order: () => this.order(body),
+      order: () => this.handleOrder(body),
     };
-    return of === '' || of === model ? handlers[call]?.() : undefined;
+    return calledModel === '' || calledModel === model ? handlers[call]?.() : undefined;
   }
 
-  private readStaged(piece: number): WeightAnswer {
-    if (piece < 0) return answered(200, { held: [...this.staged.keys()] });
+  private readStaged(piece: number): WeightResponse {
+    if (piece < 0) return jsonResponse(200, { held: [...this.staged.keys()] });
     const bytes = this.staged.get(piece);
-    return bytes ? { status: 200, body: bytes } : answered(404);
+    return bytes ? { status: 200, body: bytes } : jsonResponse(404);
   }
 
-  private order(body: Buffer): WeightAnswer {
+  private handleOrder(body: Buffer): WeightResponse {
     const { Version, Expected } = JSON.parse(body.toString()) as {
       Version: number;
       Expected?: number;
     };
-    if (this.version === Version) return answered(200);
-    if (this.isBusy || (Expected !== undefined && Expected !== this.orders)) {
-      return answered(conflict);
+    if (this.version === Version) return jsonResponse(200);
+    if (this.isLoading || (Expected !== undefined && Expected !== this.orderCount)) {
+      return jsonResponse(conflictStatus);
     }
-    const wrong = Array.from({ length: pieces }, (_, piece) => piece).filter((piece) => {
+    const invalidPieces = Array.from({ length: pieces }, (_, piece) => piece).filter((piece) => {
       const bytes = this.staged.get(piece);
-      return !bytes || !bytes.equals(pieceOf(Version, piece));
+      return !bytes || !bytes.equals(buildPiece(Version, piece));
     });
-    if (wrong.length > 0) this.onBroken(`version ${Version} lacks the pieces ${wrong.join()}`);
-    this.orders += 1;
-    this.ordered = Version;
-    this.isBusy = true;
-    this.idle();
-    return answered(202);
+    if (invalidPieces.length > 0)
+      this.onViolation(`version ${Version} lacks the pieces ${invalidPieces.join()}`);
+    this.orderCount += 1;
+    this.orderedVersion = Version;
+    this.isLoading = true;
+    this.loadIfIdle();
+    return jsonResponse(202);
   }
 
-  private finishLoad(order: number): void {
-    if (!this.isBusy || order !== this.orders || this.running() > 0) return;
-    this.version = this.ordered;
-    this.isBusy = false;
+  private finishLoad(orderCount: number): void {
+    if (!this.isLoading || orderCount !== this.orderCount || this.getRunning() > 0) return;
+    this.version = this.orderedVersion;
+    this.isLoading = false;
     this.onLoaded();
   }
 }
--- a/bench/src/virtual/virtualFleet.ts
+++ b/bench/src/virtual/virtualFleet.ts
@@ -66,7 +66,7 @@
 
   /** Makes a change at an entry and returns the accepted revision. */
   async change(change: Change, entry: VirtualEntry): Promise<number> {
-    const { revision } = await this.clock.runFor(entry.editor.apply(change, entry.signal));
+    const { revision } = await this.clock.runUntilSettled(entry.editor.apply(change, entry.signal));
     return revision;
   }
 
@@ -132,7 +132,7 @@
 
   /** Beats again and again; an entry that answers with a newer revision sends its document. */
   private beat(agent: VirtualAgent, delayMs: number): void {
-    this.clock.at(this.clock.now() + delayMs, () => {
+    this.clock.schedule(this.clock.now() + delayMs, () => {
       agent.entries.forEach((index) => this.compare(agent, this.entries[index]!));
       this.beat(agent, beatMs);
     });
@@ -142,7 +142,7 @@
     const { revision } = entry.keeper.configuration;
     if (!entry.answers || revision <= lastRevision(agent.history)) return;
     const delayMs = 4 * nearMs + entry.sendDocument(1);
-    this.clock.at(this.clock.now() + delayMs, () => {
+    this.clock.schedule(this.clock.now() + delayMs, () => {
       if (revision <= lastRevision(agent.history)) return;
       agent.history.push({ revision, atMs: this.clock.now() });
     });
--- a/bench/src/weights/regionGateway.ts
+++ b/bench/src/weights/regionGateway.ts
@@ -47,7 +47,7 @@
     const { statusCode, body } = await request(url, { headersTimeout: 0, bodyTimeout: 0 });
     const bytes = Buffer.from(await body.arrayBuffer());
     if (statusCode === 200) {
-      await this.link.take(bytes.length);
+      await this.link.consume(bytes.length);
       this.bytes += bytes.length;
     }
     return { status: statusCode, body: bytes };
--- a/features/steps/admission.steps.ts
+++ b/features/steps/admission.steps.ts
@@ -210,7 +210,7 @@
 Then(
   'the engine never got more than it bears while cold and no answer was cut silently',
   function check(this: AdmissionWorld) {
-    const { mostWhileCold, crashes, behaviour } = this.admissionEngine;
+    const { maxUnitsWhileCold: mostWhileCold, crashes, behaviour } = this.admissionEngine;
     assert.ok(mostWhileCold > 0);
     assert.ok(mostWhileCold <= behaviour.coldCapacity, `${mostWhileCold}`);
     assert.equal(crashes, 0);
--- a/features/steps/answers.steps.ts
+++ b/features/steps/answers.steps.ts
@@ -5,7 +5,7 @@
 import { AnswerAssembly, FrameOrder, answerDigest } from '@laburnumstream/decisions';
 import { SeededRandom } from '@laburnumstream/common';
 import { sha256 } from '@laburnumstream/runtime';
-import { RelayMode, makeContent, tokenOf } from '@laburnumstream/standins';
+import { RelayMode, makeContent, computeToken } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
 
 const tokenCount = 120;
@@ -57,15 +57,15 @@
   'the connection goes silent while an answer streams',
   async function silence(this: AnswersWorld) {
     await disturb(this, ({ relay }) => {
-      relay!.set(RelayMode.silentOld);
+      relay!.setMode(RelayMode.silentExisting);
     });
   },
 );
 
 When('the connection is cut while an answer streams', async function cut(this: AnswersWorld) {
   await disturb(this, ({ relay }) => {
-    relay!.set(RelayMode.cut);
-    relay!.set(RelayMode.open);
+    relay!.setMode(RelayMode.cut);
+    relay!.setMode(RelayMode.open);
   });
 });
 
@@ -84,7 +84,7 @@
 
 function expectedTokens(count: number): string[] {
   const weights = sha256(makeContent('assistant-model', 'v1', weightBytes));
-  return Array.from({ length: count }, (_, index) => tokenOf(weights, answersPrompt, index));
+  return Array.from({ length: count }, (_, index) => computeToken(weights, answersPrompt, index));
 }
 
 function checkWhole({ answersSeen }: AnswersWorld): void {
--- a/features/steps/audit.steps.ts
+++ b/features/steps/audit.steps.ts
@@ -71,6 +71,6 @@
       { limit: 1_000 },
       new AbortController().signal,
     );
-    assert.equal((await editing.clock.runFor(read)).complete, false);
+    assert.equal((await editing.clock.runUntilSettled(read)).complete, false);
   },
 );
--- a/features/steps/changeHistories.steps.ts
+++ b/features/steps/changeHistories.steps.ts
@@ -46,7 +46,7 @@
     const store = fleet.stores[editor]!;
     if (outageMs > 0) {
       store.isDown = true;
-      clock.at(clock.now() + outageMs, () => {
+      clock.schedule(clock.now() + outageMs, () => {
         store.isDown = false;
       });
     }
@@ -57,7 +57,7 @@
     );
     await clock.runUntil(clock.now() + pauseMs);
   }
-  const all = await clock.runFor(Promise.all(told));
+  const all = await clock.runUntilSettled(Promise.all(told));
   await clock.runUntil(clock.now() + settleMs);
   return all;
 }
@@ -67,7 +67,8 @@
   const run = fc.asyncProperty(history, async ({ seed: of, steps, callFaults }) => {
     const fleet = new EditingFleet(of, editors);
     fleet.content.checksConditions = checksConditions;
-    for (const store of fleet.stores) store.fault = () => callFaults.next().value as CallFault;
+    for (const store of fleet.stores)
+      store.chooseFault = () => callFaults.next().value as CallFault;
     const told = await runSteps(fleet, steps);
     world.historyFaults.push(...faultsOfHistory(told, await fleet.trail()));
     told.forEach(({ outcome }) => {
--- a/features/steps/configuration.steps.ts
+++ b/features/steps/configuration.steps.ts
@@ -57,7 +57,7 @@
     tell('a', editing.start(patchBy('ann', patches[0], 'a'), 0)),
     tell('b', editing.start(patchBy('ben', patches[1], 'b'), 1)),
   ];
-  return editing.clock.runFor(Promise.all(changes));
+  return editing.clock.runUntilSettled(Promise.all(changes));
 }
 
 When(
@@ -78,7 +78,7 @@
   const change = (author: string, path: string): Change =>
     patchBy(author, { services: { desk: { nonIdempotentPaths: [path] } } });
   const starts = [editing.start(change('ann', '/a'), 0), editing.start(change('ben', '/b'), 1)];
-  const ends = await editing.clock.runFor(Promise.allSettled(starts));
+  const ends = await editing.clock.runUntilSettled(Promise.allSettled(starts));
   const refused = ends.flatMap((end) => (end.status === 'rejected' ? [end.reason as Failure] : []));
   assert.equal(refused.length, 1);
   [this.changeFailure] = refused as [Failure];
@@ -96,7 +96,7 @@
 function failFirstWrite({ editing }: ConfigurationWorld, fault: CallFault): void {
   const [store] = editing.stores;
   let left = 1;
-  store!.fault = (operation) => {
+  store!.chooseFault = (operation) => {
     if (operation !== 'put' || left === 0) return CallFault.none;
     left -= 1;
     return fault;
@@ -109,14 +109,14 @@
 }
 
 When("the answer to a change's write is lost", async function go(this: ConfigurationWorld) {
-  failFirstWrite(this, CallFault.lostAnswer);
+  failFirstWrite(this, CallFault.lostResponse);
   this.changeTold = await applyOne(this.editing);
 });
 
 When(
   "a change's write lands after its caller gave up",
   async function go(this: ConfigurationWorld) {
-    failFirstWrite(this, CallFault.late);
+    failFirstWrite(this, CallFault.delayed);
     this.changeTold = await applyOne(this.editing);
     await this.editing.clock.runUntil(this.editing.clock.now() + 20 * secondMs);
   },
@@ -126,7 +126,7 @@
   'the answer is lost and {int} other changes follow before it is resolved',
   async function go(this: ConfigurationWorld, others: number) {
     const { editing } = this;
-    failFirstWrite(this, CallFault.lostAnswer);
+    failFirstWrite(this, CallFault.lostResponse);
     const waiting = tell('ann-change', editing.start(patchBy('ann', { services: { one: plain } })));
     await editing.clock.runUntil(editing.clock.now() + 100);
     for (let index = 0; index < others; index += 1) {
@@ -135,7 +135,7 @@
     }
     const isInline = editing.stored.audit.some(({ changeId }) => changeId === 'ann-change');
     assert.equal(isInline, false);
-    this.changeTold = [await editing.clock.runFor(waiting)];
+    this.changeTold = [await editing.clock.runUntilSettled(waiting)];
   },
 );
 
@@ -161,12 +161,12 @@
 
 When("the store goes down after a change's write", async function go(this: ConfigurationWorld) {
   const [store] = this.editing.stores;
-  store!.fault = (operation) => {
+  store!.chooseFault = (operation) => {
     if (operation !== 'put') return CallFault.none;
     void this.editing.clock.sleep(10).then(() => {
       store!.isDown = true;
     });
-    return CallFault.lostAnswer;
+    return CallFault.lostResponse;
   };
   Object.assign(this, await refuseOne(this.editing));
 });
@@ -182,7 +182,7 @@
 Then('sending it again gives its one revision', async function check(this: ConfigurationWorld) {
   const [store] = this.editing.stores;
   store!.isDown = false;
-  store!.fault = () => CallFault.none;
+  store!.chooseFault = () => CallFault.none;
   const again = await this.editing.apply(this.change);
   const records = (await this.editing.trail()).filter(({ changeId }) => changeId === 'ann-change');
   assert.deepEqual(
--- a/features/steps/outage.steps.ts
+++ b/features/steps/outage.steps.ts
@@ -93,7 +93,7 @@
       signal,
     );
     this.outageRelay = await new Relay(port!).start();
-    this.outageRelay.set('cut');
+    this.outageRelay.setMode('cut');
     const clock = new SystemClock();
     this.outageDirectory = new Directory(clock, 'north-a', times, new SeededRandom(1));
     this.outageMember = memberOf('agent-1', {
@@ -117,7 +117,7 @@
       assert.equal(outageDirectory.candidates(service, isOpen).length, 0);
       await new SystemClock().sleep(50);
     }
-    outageRelay.set('open');
+    outageRelay.setMode('open');
     const isBack = (): boolean => {
       outageDirectory.beat({ ...outageMember, beat: BigInt(Date.now()) });
       return outageDirectory.candidates(service, isOpen).length === 1;
--- a/features/steps/path.steps.ts
+++ b/features/steps/path.steps.ts
@@ -2,7 +2,7 @@
 import { After, Given, Then, When, setDefaultTimeout } from '@cucumber/cucumber';
 import { Caller, Fleet, small } from '@laburnumstream/bench';
 import type { Seen } from '@laburnumstream/bench';
-import { makeContent, tokenOf } from '@laburnumstream/standins';
+import { makeContent, computeToken } from '@laburnumstream/standins';
 import { sha256 } from '@laburnumstream/runtime';
 
 const scenarioTimeoutMs = 120_000;
@@ -41,7 +41,7 @@
 
 Then('the whole answer comes from the loaded weights', function check(this: PathWorld) {
   const weights = sha256(makeContent(model, 'v1', weightBytes));
-  const expected = this.seen.tokens.map((_, index) => tokenOf(weights, prompt, index));
+  const expected = this.seen.tokens.map((_, index) => computeToken(weights, prompt, index));
   assert.equal(this.seen.tokens.length, 8);
   assert.deepEqual(this.seen.tokens, expected);
   assert.equal(this.seen.ended, true);
@@ -66,7 +66,7 @@
 
 Then('every engine serves v2 and the origin sent about one copy', function check(this: PathWorld) {
   const engines = this.fleet.agents.flatMap(({ engine }) => engine ?? []);
-  assert.equal(new Set(engines.map(({ serving }) => serving)).size, 1);
+  assert.equal(new Set(engines.map(({ loadedDigest: serving }) => serving)).size, 1);
   assert.ok(this.fleet.origin.sentBytes <= weightBytes * 1.1, `${this.fleet.origin.sentBytes}`);
 });
 
--- a/features/steps/platformPath.steps.ts
+++ b/features/steps/platformPath.steps.ts
@@ -42,7 +42,7 @@
   /^it gets (\d+) and (any|\d+) runs of it were begun$/,
   function outcome(this: PlatformWorld, status: string, runs: string) {
     assert.equal(this.got.status, Number(status), JSON.stringify(this.platform.lines));
-    const begun = this.platform.engines.flatMap(({ ran }) => ran);
+    const begun = this.platform.engines.flatMap(({ startedRequestIds: ran }) => ran);
     if (runs !== 'any') assert.equal(begun.length, Number(runs));
     if (status === '200') {
       assert.equal(this.got.body, 'whole answer');
@@ -55,7 +55,7 @@
 Then(
   'the engine learned the workspace and the time left and not the key',
   function told(this: PlatformWorld) {
-    const [headers] = this.platform.engines[0]!.seen;
+    const [headers] = this.platform.engines[0]!.receivedHeaders;
     assert.equal(headers!['laburnumstream-tenant'], 'small');
     assert.equal(headers!.authorization, undefined);
     assert.equal(headers!['laburnumstream-expect-instance'], 'e0');
@@ -82,7 +82,7 @@
   async function refused(this: PlatformWorld) {
     assert.equal((await ask(this.platform, '/safe/x')).status, 503);
     assert.equal((await ask(this.platform, '/safe/x', 'other')).status, 503);
-    assert.deepEqual(this.platform.engines[0]!.ran, []);
+    assert.deepEqual(this.platform.engines[0]!.startedRequestIds, []);
   },
 );
 
@@ -115,7 +115,7 @@
 
 Then('the engine is rid of it within 500 ms', async function rid(this: PlatformWorld) {
   const { engines } = this.platform;
-  await eventually(() => engines[0]!.left === 1, 'the engine lost its caller', 500);
+  await eventually(() => engines[0]!.clientDisconnects === 1, 'the engine lost its caller', 500);
 });
 
 When('the first engine says that it is draining', async function drain(this: PlatformWorld) {
@@ -130,8 +130,8 @@
   'only the second engine gets the next 20 requests',
   async function second(this: PlatformWorld) {
     for (let sent = 0; sent < 20; sent += 1) await ask(this.platform, '/safe/x');
-    assert.deepEqual(this.platform.engines[0]!.ran, []);
-    assert.equal(this.platform.engines[1]!.ran.length, 20);
+    assert.deepEqual(this.platform.engines[0]!.startedRequestIds, []);
+    assert.equal(this.platform.engines[1]!.startedRequestIds.length, 20);
   },
 );
 
--- a/features/steps/platformPrograms.steps.ts
+++ b/features/steps/platformPrograms.steps.ts
@@ -127,10 +127,10 @@
   async function late(this: ProgramsWorld) {
     this.programStore = await PlatformStore.start();
     this.programStore.write('op/version/m', { Model: 'm', Version: 2 });
-    this.programStore.refusal = 503;
+    this.programStore.forcedStatus = 503;
     startFeed(this);
     await sleep(500);
-    this.programStore.refusal = undefined;
+    this.programStore.forcedStatus = undefined;
     this.returnedAt = clock.now();
     await eventually(() => this.feedState.namedVersions('m')?.newest === 2, 'version 2 is known');
   },
@@ -151,11 +151,11 @@
     this.programStore.write('op/version/m', { Model: 'm', Version: 1 });
     startFeed(this);
     await eventually(() => this.feedState.namedVersions('m')?.newest === 1, 'version 1 is known');
-    this.programStore.refusal = 503;
+    this.programStore.forcedStatus = 503;
     await sleep(1_200);
     this.programStore.write('op/version/m', { Model: 'm', Version: 2 });
     await sleep(800);
-    this.programStore.refusal = undefined;
+    this.programStore.forcedStatus = undefined;
     this.returnedAt = clock.now();
     await eventually(() => this.feedState.namedVersions('m')?.newest === 2, 'version 2 is known');
   },
--- a/features/steps/rollOutSafety.steps.ts
+++ b/features/steps/rollOutSafety.steps.ts
@@ -16,7 +16,7 @@
 Given('a roll-out fleet', async function start(this: RollOutSafetyWorld) {
   this.rollOutFleet = await Fleet.start(small, { logLevel: 'info' });
   this.rollOutAgents = this.rollOutFleet.agents.filter(({ engine }) => engine);
-  this.digestOfV1 = this.rollOutAgents[0]!.engine!.serving;
+  this.digestOfV1 = this.rollOutAgents[0]!.engine!.loadedDigest;
 });
 
 After(async function close(this: Partial<RollOutSafetyWorld>) {
@@ -30,7 +30,7 @@
 async function awaitAll(world: RollOutSafetyWorld): Promise<void> {
   const { rollOutFleet: fleet } = world;
   await fleet.until(() => fleet.rolledOut(model), 'the roll-out is done', timeoutMs);
-  const served = world.rollOutAgents.map(({ engine }) => engine!.serving);
+  const served = world.rollOutAgents.map(({ engine }) => engine!.loadedDigest);
   assert.equal(new Set(served).size, 1);
   assert.notEqual(served[0], world.digestOfV1);
 }
@@ -63,16 +63,16 @@
 
 Then('the other engines serve v2', async function check(this: RollOutSafetyWorld) {
   const others = this.rollOutAgents.filter((agent) => agent !== this.chosenAgent);
-  const isDone = () => others.every(({ engine }) => engine!.serving !== this.digestOfV1);
+  const isDone = () => others.every(({ engine }) => engine!.loadedDigest !== this.digestOfV1);
   await this.rollOutFleet.until(isDone, 'the others serve v2', timeoutMs);
-  assert.equal(this.chosenAgent.engine!.serving, this.digestOfV1);
+  assert.equal(this.chosenAgent.engine!.loadedDigest, this.digestOfV1);
 });
 
 Then('the frozen one serves v2 after it wakes up', async function wake(this: RollOutSafetyWorld) {
   this.chosenAgent.process.signal('SIGCONT');
   const { engine } = this.chosenAgent;
   await this.rollOutFleet.until(
-    () => engine!.serving !== this.digestOfV1,
+    () => engine!.loadedDigest !== this.digestOfV1,
     'it serves v2',
     timeoutMs,
   );
@@ -85,7 +85,7 @@
 });
 
 Then('the agents hold v2 but no engine switches', async function check(this: RollOutSafetyWorld) {
-  const served = () => this.rollOutAgents.map(({ engine }) => engine!.serving);
+  const served = () => this.rollOutAgents.map(({ engine }) => engine!.loadedDigest);
   const logs = () => this.rollOutAgents.map(({ process }) => process.log);
   const isWaiting = (log: string) => log.includes('store_unavailable');
   await this.rollOutFleet.until(() => logs().every(isWaiting), 'all wait for a slot', timeoutMs);
@@ -100,7 +100,7 @@
 When(
   'version v2 is rolled out that an engine cannot load',
   async function rollOut(this: RollOutSafetyWorld) {
-    this.rollOutAgents.forEach(({ engine }) => engine!.unloadable.add('v2'));
+    this.rollOutAgents.forEach(({ engine }) => engine!.unloadableVersions.add('v2'));
     await this.rollOutFleet.rollOut(model, 'v2');
   },
 );
@@ -117,7 +117,7 @@
     const { version, stopped } = await release();
     assert.equal(version, 'v1');
     assert.match(String(stopped), /v2: .* failed to load/);
-    const served = this.rollOutAgents.map(({ engine }) => engine!.serving);
+    const served = this.rollOutAgents.map(({ engine }) => engine!.loadedDigest);
     assert.deepEqual(new Set(served), new Set([this.digestOfV1]));
   },
 );
@@ -133,7 +133,7 @@
   const engine = this.chosenAgent.engine!;
   engine.crash();
   for (let again = 0; again < 2; again += 1) {
-    const isBack = () => engine.serving === this.digestOfV1;
+    const isBack = () => engine.loadedDigest === this.digestOfV1;
     await this.rollOutFleet.until(isBack, 'it serves v1', timeoutMs);
     engine.crash();
   }
@@ -141,9 +141,9 @@
 
 Then('it serves v1 again', async function check(this: RollOutSafetyWorld) {
   const { engine } = this.chosenAgent;
-  assert.equal(engine!.serving, '');
+  assert.equal(engine!.loadedDigest, '');
   await this.rollOutFleet.until(
-    () => engine!.serving === this.digestOfV1,
+    () => engine!.loadedDigest === this.digestOfV1,
     'it serves v1',
     timeoutMs,
   );
@@ -163,7 +163,7 @@
 Then('the new agent fetches v1 from its peers', async function check(this: RollOutSafetyWorld) {
   const { engine } = this.chosenAgent;
   await this.rollOutFleet.until(
-    () => engine!.serving === this.digestOfV1,
+    () => engine!.loadedDigest === this.digestOfV1,
     'it serves v1',
     timeoutMs,
   );
--- a/features/steps/soak.steps.ts
+++ b/features/steps/soak.steps.ts
@@ -3,7 +3,7 @@
 import { readFileSync, readdirSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { Then, When } from '@cucumber/cucumber';
-import { readChoices, SoakRun } from '@laburnumstream/bench';
+import { parseSoakArguments, SoakRun } from '@laburnumstream/bench';
 import type { SoakReport } from '@laburnumstream/bench';
 
 interface SoakWorld {
@@ -37,7 +37,7 @@
   { timeout: soakLimitMs },
   async function run(this: SoakWorld, minutes: string, seed: number, processes: number) {
     const args = ['--minutes', minutes, '--seed', `${seed}`, '--processes', `${processes}`];
-    this.soakReport = await new SoakRun(readChoices(args)).run(new AbortController().signal);
+    this.soakReport = await new SoakRun(parseSoakArguments(args)).run(new AbortController().signal);
   },
 );
 
--- a/features/steps/spreadHistories.steps.ts
+++ b/features/steps/spreadHistories.steps.ts
@@ -23,24 +23,25 @@
   freeze: (fleet: VirtualFleet, index: number, ms: number) => {
     const { clock } = fleet.entries[index]!;
     clock.freeze();
-    fleet.clock.at(fleet.clock.now() + ms, () => clock.thaw());
+    fleet.clock.schedule(fleet.clock.now() + ms, () => clock.thaw());
   },
   outage: (fleet: VirtualFleet, _index: number, ms: number) => {
     const stores = fleet.entries.map(({ store }) => store);
     stores.forEach((store) => Object.assign(store, { isDown: true }));
     const heal = (): void => stores.forEach((store) => Object.assign(store, { isDown: false }));
-    fleet.clock.at(fleet.clock.now() + ms, heal);
+    fleet.clock.schedule(fleet.clock.now() + ms, heal);
   },
   cut: (fleet: VirtualFleet, index: number, ms: number) => {
     const pair = `data-centre-${index % 3} data-centre-${(index + 1) % 3}`;
     fleet.cuts.add(pair);
-    fleet.clock.at(fleet.clock.now() + ms, () => fleet.cuts.delete(pair));
+    fleet.clock.schedule(fleet.clock.now() + ms, () => fleet.cuts.delete(pair));
   },
   lostAnswer: (fleet: VirtualFleet, index: number, ms: number) => {
     const { store } = fleet.entries[index]!;
-    store.fault = (operation) => (operation === 'put' ? CallFault.lostAnswer : CallFault.none);
-    fleet.clock.at(fleet.clock.now() + ms, () => {
-      store.fault = () => CallFault.none;
+    store.chooseFault = (operation) =>
+      operation === 'put' ? CallFault.lostResponse : CallFault.none;
+    fleet.clock.schedule(fleet.clock.now() + ms, () => {
+      store.chooseFault = () => CallFault.none;
     });
   },
 } as const;
@@ -95,7 +96,7 @@
     await fleet.run(pauseMs);
   }
   await fleet.run(longestFaultMs);
-  const told = await fleet.clock.runFor(Promise.all(telling));
+  const told = await fleet.clock.runUntilSettled(Promise.all(telling));
   await fleet.run(healMs);
   return { faults: faultsOfSpread(fleet, told), told };
 }
--- a/features/steps/stops.steps.ts
+++ b/features/steps/stops.steps.ts
@@ -66,6 +66,6 @@
   await sleep(200);
   this.stopCaller.write(requestText('late'));
   await sleep(300);
-  const ran = this.platform.engines.flatMap((engine) => engine.ran);
+  const ran = this.platform.engines.flatMap((engine) => engine.startedRequestIds);
   assert.deepEqual(ran, ['long']);
 });
--- a/features/support/editingFleet.ts
+++ b/features/support/editingFleet.ts
@@ -39,11 +39,11 @@
 
   /** Makes a change and waits for its outcome in virtual time. */
   apply(change: Change, editor = 0): Promise<Acceptance> {
-    return this.clock.runFor(this.start(change, editor));
+    return this.clock.runUntilSettled(this.start(change, editor));
   }
 
   preview(change: Change) {
-    return this.clock.runFor(this.editors[0]!.preview(change, this.running.signal));
+    return this.clock.runUntilSettled(this.editors[0]!.preview(change, this.running.signal));
   }
 
   /** The stored document. */
@@ -56,6 +56,6 @@
   async trail(): Promise<readonly AuditRecord[]> {
     const store = new MemoryKeyValueStore(this.content, this.clock, new SeededRandom(1));
     const read = new AuditTrail(store).read(this.stored, { limit: 1_000 }, this.running.signal);
-    return (await this.clock.runFor(read)).records;
+    return (await this.clock.runUntilSettled(read)).records;
   }
 }
--- a/packages/standins/src/engineStandIn.ts
+++ b/packages/standins/src/engineStandIn.ts
@@ -6,25 +6,26 @@
 import { generationUnits } from '@laburnumstream/decisions';
 import { HttpStandIn } from './httpStandIn.js';
 
-/** How an engine stand-in behaves. */
+/** Timing, capacity and checks of an {@link EngineStandIn}. */
 export interface EngineBehaviour {
   /** Time to the first token, in milliseconds. */
   readonly prefillMs: number;
-  /** Time between tokens, in milliseconds; 0 sends all at once. */
+  /** Time between tokens, in milliseconds; 0 sends all tokens at once. */
   readonly tokenMs: number;
-  /** Work units that the engine runs at once when warm; more wait inside, by priority. */
+  /** Work units that a warm engine runs concurrently; further requests are queued by priority. */
   readonly capacity: number;
-  /** Work units that the engine bears just after a cold start; more crash it, but for one request. */
+  /** Work units that a cold engine can hold before it crashes; a single request never crashes it. */
   readonly coldCapacity: number;
   /** Completed requests after which the engine is warm. */
   readonly warmAfter: number;
+  /** Whether orders with an outdated fencing number are rejected. */
   readonly checksFencing: boolean;
-  /** Age of load reports, in milliseconds. */
+  /** Delay between taking and sending a load report, in milliseconds. */
   readonly reportLagMs: number;
 }
 
-/** Behaviour of an engine when a test names none. */
-export const engineDefaults: EngineBehaviour = {
+/** Behaviour used when a test specifies none. */
+export const defaultEngineBehaviour: EngineBehaviour = {
   prefillMs: 0,
   tokenMs: 0,
   capacity: 64,
@@ -34,7 +35,7 @@
   reportLagMs: 0,
 };
 
-/** A run of a request at an engine. */
+/** One execution of a request on an engine. */
 export interface EngineRun {
   readonly id: string;
   readonly prompt: string;
@@ -44,58 +45,59 @@
   readonly priority: number;
 }
 
-/** A request that waits inside the engine. */
-interface Waiting {
+/** A request queued inside the engine. */
+interface QueuedRequest {
   readonly units: number;
   readonly priority: number;
-  readonly start: () => void;
+  readonly resume: () => void;
 }
 
-/** Prompts that hold this text crash the engine that runs them. */
+/** Prompts that contain this text crash the engine that runs them. */
 export const crashingPrompt = 'CRASH-ENGINE';
 
-const restartMs = 300;
+const restartDelayMs = 300;
 
-/** The token that an engine with these weights gives at an index: shows which weights answered. */
-export function tokenOf(weights: string, prompt: string, index: number): string {
+/** The deterministic token at an index; it depends on the weights, so tests can tell which weights produced it. */
+export function computeToken(weights: string, prompt: string, index: number): string {
   return ` ${hash32(`${weights}\n${prompt}\n${index}`).toString(36)}`;
 }
 
-/** A stand-in for a model engine. */
+/** A stand-in for a model engine with cold starts, crashes and fenced orders. */
 export class EngineStandIn extends HttpStandIn {
   readonly runs: EngineRun[] = [];
 
-  /** Fencing numbers of the orders taken, in order. */
-  readonly orders: number[] = [];
+  /** Fencing numbers of the accepted orders, in order of arrival. */
+  readonly acceptedFencings: number[] = [];
 
-  /** Most work units at once while cold; a request that ran alone does not count. */
-  mostWhileCold = 0;
+  /** Maximum work units held at once while cold; a request that ran alone is not counted. */
+  maxUnitsWhileCold = 0;
 
   crashes = 0;
 
-  /** Versions that the engine cannot load. */
-  readonly unloadable = new Set<string>();
+  /** Versions that the engine fails to load. */
+  readonly unloadableVersions = new Set<string>();
 
-  /** Requests that the engine holds. */
+  /** Requests held by the engine, running or queued. */
   running = 0;
 
-  /** Work units that the engine holds. */
+  /** Work units of the held requests, running or queued. */
   runningUnits = 0;
 
-  private readonly waiting: Waiting[] = [];
+  private readonly queue: QueuedRequest[] = [];
 
-  private busyUnits = 0;
+  /** Work units of the running requests. */
+  private batchUnits = 0;
 
-  private completed = 0;
+  private completedSinceColdStart = 0;
 
   private boot: string = randomUUID();
 
-  /** Grows with each crash; requests of an earlier life are dead. */
-  private life = 0;
+  /** Incremented by each restart; requests of an earlier incarnation are aborted. */
+  private incarnation = 0;
 
   private weights = '';
 
-  private content = '';
+  private contentDigest = '';
 
   private role = 'both';
 
@@ -105,50 +107,51 @@
 
   private readonly adapters = new Set<string>();
 
-  constructor(readonly behaviour: EngineBehaviour = engineDefaults) {
+  constructor(readonly behaviour: EngineBehaviour = defaultEngineBehaviour) {
     super();
   }
 
-  get serving(): string {
+  /** Digest of the loaded weights; empty when none are loaded. */
+  get loadedDigest(): string {
     return this.weights;
   }
 
   get isCold(): boolean {
-    return this.completed < this.behaviour.warmAfter;
+    return this.completedSinceColdStart < this.behaviour.warmAfter;
   }
 
-  /** Turns cold again without a restart: the caches are gone, requests go on. */
+  /** Drops the caches and changes the boot id without a restart; running requests continue. */
   turnCold(): void {
-    this.completed = 0;
+    this.completedSinceColdStart = 0;
     this.boot = randomUUID();
   }
 
-  /** Loses its caches and says nothing of it: even its boot id stays. */
+  /** Drops the caches without changing the boot id, so that load reports do not reveal it. */
   turnColdSilently(): void {
-    this.completed = 0;
+    this.completedSinceColdStart = 0;
   }
 
-  /** Restarts at once, cold, with its weights; all its requests and connections are gone. */
+  /** Restarts immediately: the engine is cold but keeps its weights; all requests and connections are lost. */
   restart(): void {
     this.turnCold();
-    this.life += 1;
+    this.incarnation += 1;
     this.running = 0;
     this.runningUnits = 0;
-    this.busyUnits = 0;
-    this.waiting.splice(0).forEach(({ start }) => start());
+    this.batchUnits = 0;
+    this.queue.splice(0).forEach(({ resume }) => resume());
     this.closeConnections();
   }
 
-  /** Dies with all its requests and comes back cold, without weights. */
+  /** Crashes with all its requests; after a short delay the engine is up again, cold and without weights. */
   crash(): void {
     this.crashes += 1;
     this.weights = '';
-    this.content = '';
+    this.contentDigest = '';
     this.faults.down = true;
     this.restart();
     setTimeout(() => {
       this.faults.down = false;
-    }, restartMs).unref();
+    }, restartDelayMs).unref();
   }
 
   protected override async handle(
@@ -159,7 +162,7 @@
   ): Promise<void> {
     const [, part, id = ''] = url.pathname.split('/');
     if (part === 'load') await this.sendLoad(response);
-    else if (part === 'orders') await this.takeOrder(JSON.parse(body) as EngineOrder, response);
+    else if (part === 'orders') await this.applyOrder(JSON.parse(body) as EngineOrder, response);
     else if (request.method === 'DELETE') {
       this.cancelled.add(id);
       this.send(response, 200);
@@ -171,7 +174,7 @@
     const report = {
       boot: this.boot,
       running: this.running,
-      queued: this.waiting.length,
+      queued: this.queue.length,
       capacity: this.isCold ? coldCapacity : capacity,
       weights: this.weights,
       adapters: [...this.adapters],
@@ -181,35 +184,35 @@
     this.send(response, 200, report);
   }
 
-  private async takeOrder(order: EngineOrder, response: ServerResponse): Promise<void> {
+  private async applyOrder(order: EngineOrder, response: ServerResponse): Promise<void> {
     if (this.behaviour.checksFencing && order.fencing < this.highestFencing) {
       this.send(response, 409);
       return;
     }
     this.highestFencing = Math.max(this.highestFencing, order.fencing);
-    this.orders.push(order.fencing);
+    this.acceptedFencings.push(order.fencing);
     if (order.kind === 'role') this.role = order.role ?? this.role;
     const loaded = order.kind !== 'load' || (await this.load(order));
     this.send(response, loaded ? 200 : 422, loaded ? {} : { error: 'The content is corrupt.' });
   }
 
   private async load(order: EngineOrder): Promise<boolean> {
-    if (this.unloadable.has(order.manifest?.version ?? '')) return false;
-    const answer = await fetch(order.source ?? '');
-    const content = Buffer.from(await answer.arrayBuffer());
+    if (this.unloadableVersions.has(order.manifest?.version ?? '')) return false;
+    const response = await fetch(order.source ?? '');
+    const content = Buffer.from(await response.arrayBuffer());
     const hash = createHash('sha256').update(content).digest('hex');
     if (hash !== order.manifest?.content) return false;
     if (order.manifest.kind === 'adapter') this.adapters.add(order.digest ?? '');
     else {
       this.weights = order.digest ?? '';
-      this.content = hash;
-      this.completed = 0;
+      this.contentDigest = hash;
+      this.completedSinceColdStart = 0;
     }
     return true;
   }
 
   private async generate(generation: Generation, response: ServerResponse): Promise<void> {
-    const { life, weights } = this;
+    const { incarnation, weights } = this;
     if (!weights) {
       this.send(response, 503);
       return;
@@ -219,65 +222,68 @@
     this.running += 1;
     this.runningUnits += units;
     this.runs.push({ id, prompt, weights, resumeFrom, priority, startedAt: Date.now() });
-    if (this.bearsTooMuch() || prompt.includes(crashingPrompt)) this.crash();
-    await this.takeRoom(units, priority);
-    const ended = this.life === life && (await this.stream(generation, response, life));
-    if (this.life !== life) {
+    if (this.exceedsColdCapacity() || prompt.includes(crashingPrompt)) this.crash();
+    await this.acquireCapacity(units, priority);
+    const isComplete =
+      this.incarnation === incarnation && (await this.stream(generation, response, incarnation));
+    if (this.incarnation !== incarnation) {
       response.destroy();
       return;
     }
     this.running -= 1;
     this.runningUnits -= units;
-    this.leaveRoom(units);
-    if (ended) this.completed += 1;
+    this.releaseCapacity(units);
+    if (isComplete) this.completedSinceColdStart += 1;
   }
 
-  private bearsTooMuch(): boolean {
+  /** Records the load of a cold engine and tells whether it exceeds the cold capacity. */
+  private exceedsColdCapacity(): boolean {
     if (!this.isCold || this.running === 1) return false;
-    this.mostWhileCold = Math.max(this.mostWhileCold, this.runningUnits);
+    this.maxUnitsWhileCold = Math.max(this.maxUnitsWhileCold, this.runningUnits);
     return this.runningUnits > this.behaviour.coldCapacity;
   }
 
-  /** Waits inside the engine for room in its batch; higher priorities go first. */
-  private async takeRoom(units: number, priority: number): Promise<void> {
-    if (this.busyUnits > 0 && this.busyUnits + units > this.behaviour.capacity) {
+  /** Waits until the batch has room for the request; higher priorities go first. */
+  private async acquireCapacity(units: number, priority: number): Promise<void> {
+    if (this.batchUnits > 0 && this.batchUnits + units > this.behaviour.capacity) {
       await new Promise<void>((resolve) => {
-        const index = this.waiting.findIndex((other) => other.priority < priority);
-        const waiting = { units, priority, start: resolve };
-        this.waiting.splice(index < 0 ? this.waiting.length : index, 0, waiting);
+        const index = this.queue.findIndex((other) => other.priority < priority);
+        const queued = { units, priority, resume: resolve };
+        this.queue.splice(index < 0 ? this.queue.length : index, 0, queued);
       });
       return;
     }
-    this.busyUnits += units;
+    this.batchUnits += units;
   }
 
-  private leaveRoom(units: number): void {
-    this.busyUnits -= units;
-    while (this.waiting[0]) {
-      const next = this.waiting[0];
-      if (this.busyUnits > 0 && this.busyUnits + next.units > this.behaviour.capacity) return;
-      this.waiting.shift();
-      this.busyUnits += next.units;
-      next.start();
+  private releaseCapacity(units: number): void {
+    this.batchUnits -= units;
+    while (this.queue[0]) {
+      const next = this.queue[0];
+      if (this.batchUnits > 0 && this.batchUnits + next.units > this.behaviour.capacity) return;
+      this.queue.shift();
+      this.batchUnits += next.units;
+      next.resume();
     }
   }
 
-  /** Streams tokens while this life lasts and the caller listens. */
+  /** Streams tokens until the end, a restart, a cancellation or a disconnect; returns whether the stream is complete. */
   private async stream(
     generation: Generation,
     response: ServerResponse,
-    life: number,
+    incarnation: number,
   ): Promise<boolean> {
     const { prefillMs, tokenMs } = this.behaviour;
-    const { content } = this;
+    const { contentDigest } = this;
     if (prefillMs > 0) await sleep(prefillMs);
-    if (this.life !== life) return false;
+    if (this.incarnation !== incarnation) return false;
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     for (let index = generation.resumeFrom; index < generation.maxTokens; index += 1) {
       if (tokenMs > 0 && index > generation.resumeFrom) await sleep(tokenMs);
-      const gone = this.life !== life || response.destroyed || this.cancelled.has(generation.id);
-      if (gone) return false;
-      const text = tokenOf(content, generation.prompt, index);
+      const isStopped =
+        this.incarnation !== incarnation || response.destroyed || this.cancelled.has(generation.id);
+      if (isStopped) return false;
+      const text = computeToken(contentDigest, generation.prompt, index);
       response.write(`${JSON.stringify({ index, text })}\n`);
     }
     response.end(`${JSON.stringify({ end: true })}\n`);
--- a/packages/standins/src/httpStandIn.ts
+++ b/packages/standins/src/httpStandIn.ts
@@ -2,17 +2,17 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** Faults that every stand-in can show. */
+/** Faults that can be injected into every stand-in. */
 export interface Faults {
-  /** Closes every connection without an answer. */
+  /** Closes every connection without a response. */
   down: boolean;
-  /** Delay before each answer, in milliseconds. */
+  /** Delay before each request is handled, in milliseconds. */
   delayMs: number;
-  /** Share of requests that take effect but whose answer is lost, from 0 to 1. */
+  /** Share of requests that take effect but whose response is lost, from 0 to 1. */
   loseAnswers: number;
 }
 
-/** Base of the small HTTP stand-ins: a server with faults. */
+/** Base class of the HTTP stand-ins: a server with injectable faults. */
 export abstract class HttpStandIn {
   readonly faults: Faults = { down: false, delayMs: 0, loseAnswers: 0 };
 
@@ -31,7 +31,7 @@
     return `http://127.0.0.1:${this.port}`;
   }
 
-  /** Listens on a port of 127.0.0.1; 0 takes a free one. */
+  /** Listens on a port of 127.0.0.1; 0 selects a free port. */
   async start(port = 0): Promise<this> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -42,7 +42,7 @@
     return this;
   }
 
-  /** Breaks every connection, as a crash does. */
+  /** Closes all connections, as a crash does. */
   closeConnections(): void {
     this.server.closeAllConnections();
   }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for the platform, the origin and the endpoints, with the faults that tests need. */
+/** Stand-ins for the platform, the origin and the endpoints, with injectable faults for tests. */
 export * from './engineStandIn.js';
 export * from './httpStandIn.js';
 export * from './instanceListStandIn.js';
--- a/packages/standins/src/keyValueStandIn.ts
+++ b/packages/standins/src/keyValueStandIn.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { HttpStandIn } from './httpStandIn.js';
 
-interface Stored {
+interface StoredValue {
   readonly key: string;
   readonly value: string;
   readonly revision: number;
@@ -11,31 +11,31 @@
 
 interface Lease {
   readonly ttlMs: number;
-  timer: NodeJS.Timeout;
+  expiryTimer: NodeJS.Timeout;
 }
 
 const maxValueBytes = 1_048_576;
 
 /** A stand-in for the platform's key-value service: compare-and-swap, leases and watches. */
 export class KeyValueStandIn extends HttpStandIn {
-  private readonly values = new Map<string, Stored>();
+  private readonly values = new Map<string, StoredValue>();
 
   private readonly leases = new Map<string, Lease>();
 
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
   private revision = 0;
 
-  /** Calls served; a waiting watch counts as one. */
+  /** Calls handled; a long-polling watch counts as one. */
   readonly calls = { reads: 0, writes: 0, watches: 0 };
 
-  /** Reads a value without counting a call. */
+  /** Reads a value without counting a call in {@link calls}. */
   peek(key: string): string | undefined {
     return this.values.get(key)?.value;
   }
 
   override async stop(): Promise<void> {
-    this.leases.forEach(({ timer }) => clearTimeout(timer));
+    this.leases.forEach(({ expiryTimer }) => clearTimeout(expiryTimer));
     await super.stop();
   }
 
@@ -63,22 +63,22 @@
       this.revision += 1;
       const lease = `lease-${this.revision}`;
       const ttlMs = Number(url.searchParams.get('ttlMs'));
-      this.leases.set(lease, { ttlMs, timer: this.expiry(lease, ttlMs) });
+      this.leases.set(lease, { ttlMs, expiryTimer: this.startExpiryTimer(lease, ttlMs) });
       this.send(response, 200, { lease });
       return;
     }
-    const known = this.leases.get(id);
-    if (!known) {
+    const existing = this.leases.get(id);
+    if (!existing) {
       this.send(response, 404);
       return;
     }
-    clearTimeout(known.timer);
-    if (method === 'PUT') known.timer = this.expiry(id, known.ttlMs);
+    clearTimeout(existing.expiryTimer);
+    if (method === 'PUT') existing.expiryTimer = this.startExpiryTimer(id, existing.ttlMs);
     else this.endLease(id);
     this.send(response, 200);
   }
 
-  private expiry(lease: string, ttlMs: number): NodeJS.Timeout {
+  private startExpiryTimer(lease: string, ttlMs: number): NodeJS.Timeout {
     return setTimeout(() => this.endLease(lease), ttlMs);
   }
 
@@ -104,7 +104,7 @@
     const deadline = Date.now() + Number(url.searchParams.get('waitMs'));
     while ((this.values.get(key)?.revision ?? 0) <= after && Date.now() < deadline) {
       if (request.socket.destroyed) return;
-      await this.change(deadline - Date.now());
+      await this.waitForChange(deadline - Date.now());
     }
     const stored = this.values.get(key);
     if (this.faults.down) request.socket.destroy();
@@ -121,23 +121,25 @@
   private handlePut(key: string, url: URL, body: string, response: ServerResponse): void {
     const ifRevision = url.searchParams.get('ifRevision');
     const lease = url.searchParams.get('lease') ?? '';
-    const present = this.values.get(key)?.revision ?? 0;
+    const currentRevision = this.values.get(key)?.revision ?? 0;
     if (Buffer.byteLength(body) > maxValueBytes) this.send(response, 413);
     else if (lease && !this.leases.has(lease)) this.send(response, 404);
-    else if (ifRevision !== null && Number(ifRevision) !== present) this.send(response, 409);
+    else if (ifRevision !== null && Number(ifRevision) !== currentRevision)
+      this.send(response, 409);
     else {
       this.revision += 1;
       this.values.set(key, { key, value: body, revision: this.revision, lease });
-      this.notify();
+      this.wakeWaiters();
       this.send(response, 200, { revision: this.revision });
     }
   }
 
   private handleDelete(key: string, url: URL, response: ServerResponse): void {
     const ifRevision = url.searchParams.get('ifRevision');
-    const present = this.values.get(key)?.revision ?? 0;
-    if (present === 0) this.send(response, 404);
-    else if (ifRevision !== null && Number(ifRevision) !== present) this.send(response, 409);
+    const currentRevision = this.values.get(key)?.revision ?? 0;
+    if (currentRevision === 0) this.send(response, 404);
+    else if (ifRevision !== null && Number(ifRevision) !== currentRevision)
+      this.send(response, 409);
     else {
       this.remove(key);
       this.send(response, 200);
@@ -147,24 +149,24 @@
   private remove(key: string): void {
     this.revision += 1;
     this.values.delete(key);
-    this.notify();
+    this.wakeWaiters();
   }
 
-  /** Resolves at the next change of any key, or after `ms`. */
-  private change(ms: number): Promise<void> {
+  /** Resolves at the next change of any key, at the latest after `ms`. */
+  private waitForChange(ms: number): Promise<void> {
     return new Promise((resolve) => {
-      const abort = new AbortController();
+      const cancelTimer = new AbortController();
       const wake = (): void => {
-        abort.abort();
-        this.waiting.delete(wake);
+        cancelTimer.abort();
+        this.waiters.delete(wake);
         resolve();
       };
-      this.waiting.add(wake);
-      sleep(Math.max(1, ms), undefined, { signal: abort.signal }).then(wake, () => undefined);
+      this.waiters.add(wake);
+      sleep(Math.max(1, ms), undefined, { signal: cancelTimer.signal }).then(wake, () => undefined);
     });
   }
 
-  private notify(): void {
-    [...this.waiting].forEach((wake) => wake());
+  private wakeWaiters(): void {
+    [...this.waiters].forEach((wake) => wake());
   }
 }
--- a/packages/standins/src/memoryKeyValueStore.ts
+++ b/packages/standins/src/memoryKeyValueStore.ts
@@ -8,27 +8,27 @@
 } from '@laburnumstream/common';
 import type { MemoryStoreContent } from './memoryStoreContent.js';
 
-/** What can befall one call. */
+/** Faults that can be injected into one call. */
 export const CallFault = {
   none: 'none',
-  /** The call is lost before it takes effect. */
-  lostCall: 'lostCall',
-  /** The call takes effect and its answer is lost. */
-  lostAnswer: 'lostAnswer',
-  /** The caller gives up before the call takes effect. */
-  late: 'late',
+  /** The request is lost before it takes effect. */
+  lostRequest: 'lostRequest',
+  /** The request takes effect, but its response is lost. */
+  lostResponse: 'lostResponse',
+  /** The request takes effect only after the caller has timed out. */
+  delayed: 'delayed',
 } as const;
 
 /** One of the values of {@link CallFault}. */
 export type CallFault = (typeof CallFault)[keyof typeof CallFault];
 
 const timeoutMs = 2_000;
-const longestDelayMs = 6_000;
+const maxDelayMs = 6_000;
 
-/** A client of a store in memory, on a given clock and with faults. */
+/** A client of an in-memory store that runs on a given clock and injects faults. */
 export class MemoryKeyValueStore implements KeyValueStore {
-  /** Chooses what befalls the next call. */
-  fault: (operation: string) => CallFault = () => CallFault.none;
+  /** Chooses the fault of the next call. */
+  chooseFault: (operation: string) => CallFault = () => CallFault.none;
 
   isDown = false;
 
@@ -45,9 +45,9 @@
   }
 
   list(prefix: string, signal?: AbortSignal): Promise<readonly StoredValue[]> {
-    const found = () =>
+    const findMatches = () =>
       [...this.content.values.values()].filter(({ key }) => key.startsWith(prefix));
-    return this.call('list', found, signal);
+    return this.call('list', findMatches, signal);
   }
 
   put(
@@ -58,8 +58,8 @@
   ): Promise<number> {
     const write = (): number => {
       const { content } = this;
-      const present = content.values.get(key)?.revision ?? 0;
-      if (content.checksConditions && ifRevision !== undefined && ifRevision !== present) {
+      const currentRevision = content.values.get(key)?.revision ?? 0;
+      if (content.checksConditions && ifRevision !== undefined && ifRevision !== currentRevision) {
         throw new Conflict(`The value of ${key} changed meanwhile.`);
       }
       content.revision += 1;
@@ -83,22 +83,22 @@
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<StoredValue | undefined> {
-    const newer = (): StoredValue | undefined => {
+    const getNewer = (): StoredValue | undefined => {
       const stored = this.content.values.get(key);
       return stored && stored.revision > after ? stored : undefined;
     };
-    const found = await this.call('watch', newer, signal);
+    const found = await this.call('watch', getNewer, signal);
     if (found) return found;
-    const waited = new AbortController();
+    const changed = new AbortController();
     const wake = (): void => {
-      if (newer()) waited.abort();
+      if (getNewer()) changed.abort();
     };
     this.content.watchers.add(wake);
-    const limit = signal ? AbortSignal.any([signal, waited.signal]) : waited.signal;
-    await this.clock.sleep(waitMs, limit).catch(() => undefined);
+    const wakeSignal = signal ? AbortSignal.any([signal, changed.signal]) : changed.signal;
+    await this.clock.sleep(waitMs, wakeSignal).catch(() => undefined);
     this.content.watchers.delete(wake);
     if (this.isDown) throw new StoreUnavailable('The connection broke.');
-    return this.call('watched', newer, signal);
+    return this.call('watched', getNewer, signal);
   }
 
   grantLease(): Promise<string> {
@@ -119,24 +119,24 @@
     signal?: AbortSignal,
   ): Promise<Value> {
     if (operation !== 'watched') this.content.calls += 1;
-    const fault = this.fault(operation);
+    const fault = this.chooseFault(operation);
     await this.clock.sleep(this.latencyMs * (0.5 + this.random.next()), signal);
     if (this.isDown) throw new StoreUnavailable('The store is down.');
-    if (fault === CallFault.lostCall) return this.giveUp(signal);
-    if (fault === CallFault.late) {
-      const delayMs = timeoutMs + this.random.next() * longestDelayMs;
+    if (fault === CallFault.lostRequest) return this.timeOut(signal);
+    if (fault === CallFault.delayed) {
+      const delayMs = timeoutMs + this.random.next() * maxDelayMs;
       void this.clock
         .sleep(delayMs)
         .then(effect)
         .catch(() => undefined);
-      return this.giveUp(signal);
+      return this.timeOut(signal);
     }
     const value = effect();
-    if (fault === CallFault.lostAnswer) return this.giveUp(signal);
+    if (fault === CallFault.lostResponse) return this.timeOut(signal);
     return value;
   }
 
-  private async giveUp(signal?: AbortSignal): Promise<never> {
+  private async timeOut(signal?: AbortSignal): Promise<never> {
     await this.clock.sleep(timeoutMs, signal);
     throw new StoreUnavailable('The answer did not come in time.');
   }
--- a/packages/standins/src/memoryStoreContent.ts
+++ b/packages/standins/src/memoryStoreContent.ts
@@ -1,25 +1,25 @@
 import type { StoredValue } from '@laburnumstream/common';
 
-/** The content of a store that several clients share. */
+/** The content of an in-memory store, shared by several clients. */
 export class MemoryStoreContent {
   values = new Map<string, StoredValue>();
 
   revision = 0;
 
-  /** Whether writes check their conditions; false plants a fault for checkers to find. */
+  /** Whether conditional writes check their condition; false injects a fault that tests must detect. */
   checksConditions = true;
 
   readonly watchers = new Set<() => void>();
 
-  /** Calls served; a waiting watch counts as one. */
+  /** Calls handled; a long-polling watch counts as one. */
   calls = 0;
 
-  /** A copy of all values, to be restored later. */
+  /** Returns a copy of all values for a later {@link restore}. */
   snapshot(): { values: Map<string, StoredValue>; revision: number } {
     return { values: new Map(this.values), revision: this.revision };
   }
 
-  /** Takes the store back to an older state. */
+  /** Reverts the store to an earlier snapshot. */
   restore({ values, revision }: ReturnType<MemoryStoreContent['snapshot']>): void {
     this.values = new Map(values);
     this.revision = revision;
--- a/packages/standins/src/originStandIn.ts
+++ b/packages/standins/src/originStandIn.ts
@@ -5,7 +5,7 @@
 import { HttpStandIn } from './httpStandIn.js';
 import type { TokenBucket } from './tokenBucket.js';
 
-interface Published {
+interface PublishedVersion {
   readonly manifest: Manifest;
   readonly content: Buffer;
 }
@@ -14,26 +14,26 @@
   return createHash('sha256').update(content).digest('hex');
 }
 
-/** Repeatable content that differs between models and versions. */
+/** Deterministic content that differs between models and versions. */
 export function makeContent(model: string, version: string, size: number): Buffer {
   const content = Buffer.alloc(size);
   let word = hash32(`${model}/${version}`);
   for (let offset = 0; offset + 4 <= size; offset += 4) {
-    // A small multiplicative generator; only variety matters here.
+    // A linear congruential generator; the content only has to vary.
     word = (Math.imul(word, 1_664_525) + 1_013_904_223) >>> 0;
     content.writeUInt32LE(word, offset);
   }
   return content;
 }
 
-/** A stand-in for the origin of weights, with a paced link. */
+/** A stand-in for the origin of weights, with an optional bandwidth limit. */
 export class OriginStandIn extends HttpStandIn {
-  private readonly published = new Map<string, Published>();
+  private readonly published = new Map<string, PublishedVersion>();
 
-  /** Bytes of chunks sent. */
+  /** Total bytes of the chunks sent. */
   sentBytes = 0;
 
-  /** Chunks that are sent corrupt the next times they are asked for. */
+  /** Number of next chunk responses to corrupt. */
   corruptNext = 0;
 
   constructor(private readonly link?: TokenBucket) {
@@ -41,13 +41,13 @@
   }
 
   /** Content digests of all published versions of a model. */
-  contents(model: string): string[] {
+  getContentDigests(model: string): string[] {
     return [...this.published.values()]
       .filter(({ manifest }) => manifest.model === model)
       .map(({ manifest }) => manifest.content);
   }
 
-  /** Publishes a version; publishing it again replaces the content. */
+  /** Publishes a version, or replaces its content if it exists. */
   publish(
     model: string,
     version: string,
@@ -78,13 +78,13 @@
   }
 
   private async sendChunk(
-    { manifest, content }: Published,
+    { manifest, content }: PublishedVersion,
     index: number,
     response: ServerResponse,
   ): Promise<void> {
     const start = index * manifest.chunkBytes;
     const chunk = Buffer.from(content.subarray(start, start + manifest.chunkBytes));
-    await this.link?.take(chunk.length);
+    await this.link?.consume(chunk.length);
     this.sentBytes += chunk.length;
     if (this.corruptNext > 0) {
       this.corruptNext -= 1;
--- a/packages/standins/src/plainStandIn.ts
+++ b/packages/standins/src/plainStandIn.ts
@@ -3,28 +3,28 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { HttpStandIn } from './httpStandIn.js';
 
-/** A run of a call at a plain service. */
+/** One execution of a call by a plain service. */
 export interface PlainRun {
   readonly method: string;
   readonly path: string;
   readonly body: string;
 }
 
-/** A stand-in for a plain service: it counts the runs and echoes the calls. */
+/** A stand-in for a plain (non-model) service that records its calls and echoes their bodies. */
 export class PlainStandIn extends HttpStandIn {
   readonly runs: PlainRun[] = [];
 
-  /** Time that each call takes, in milliseconds. */
+  /** Execution time of each call, in milliseconds. */
   workMs = 0;
 
-  /** Calls that run but whose answer never comes. */
+  /** Number of next calls that are executed but get no response. */
   dropNext = 0;
 
   private boot: string = randomUUID();
 
   private running = 0;
 
-  /** Restarts cold. */
+  /** Simulates a restart by changing the boot id. */
   restart(): void {
     this.boot = randomUUID();
   }
--- a/packages/standins/src/platformEngine.ts
+++ b/packages/standins/src/platformEngine.ts
@@ -3,18 +3,18 @@
 import type { AddressInfo, Socket } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** How an engine deals with one request. */
+/** Handles one request on a {@link PlatformEngine}. */
 export type Behaviour = (
   request: IncomingMessage,
   response: ServerResponse,
   engine: PlatformEngine,
 ) => void | Promise<void>;
 
-const eventGapMs = 15;
+const eventIntervalMs = 15;
 const delayMs = 100;
 
-/** Heads an answer as an engine of the platform does. */
-export function head(
+/** Builds the response headers that an engine of the platform sends. */
+export function buildHeaders(
   request: IncomingMessage,
   engine: Pick<PlatformEngine, 'id'>,
 ): Record<string, string> {
@@ -24,108 +24,114 @@
   };
 }
 
-function eventOf(id: number): string {
+function formatEvent(id: number): string {
   return `id: ${id}\ndata: token ${id}\n\n`;
 }
 
-/** Streams events from the one after `Last-Event-Id` to `last`, and ends. */
-export function streams(last: number, before?: (id: number) => Promise<void>): Behaviour {
+/** Streams the events after `Last-Event-Id` up to and including `last`, then ends. */
+export function streamEvents(last: number, beforeEvent?: (id: number) => Promise<void>): Behaviour {
   return async (request, response, engine) => {
-    response.writeHead(200, { ...head(request, engine), 'content-type': 'text/event-stream' });
+    response.writeHead(200, {
+      ...buildHeaders(request, engine),
+      'content-type': 'text/event-stream',
+    });
     const first = Number(request.headers['last-event-id'] ?? 0) + 1;
     for (let id = first; id <= last && !response.destroyed; id += 1) {
-      await before?.(id);
-      response.write(eventOf(id));
-      await sleep(eventGapMs);
+      await beforeEvent?.(id);
+      response.write(formatEvent(id));
+      await sleep(eventIntervalMs);
     }
     response.end();
   };
 }
 
-/** Begins an answer that names neither a length nor chunks. */
-function beginUnframed(request: IncomingMessage, engine: PlatformEngine, type: string): void {
-  const headers = Object.entries({ ...head(request, engine), 'content-type': type });
+/** Writes the head of a response that has neither a content length nor chunked encoding. */
+function writeUnframedHead(request: IncomingMessage, engine: PlatformEngine, type: string): void {
+  const headers = Object.entries({ ...buildHeaders(request, engine), 'content-type': type });
   const lines = headers.map(([name, value]) => `${name}: ${value}\r\n`);
   request.socket.write(`HTTP/1.1 200 OK\r\n${lines.join('')}Connection: close\r\n\r\n`);
 }
 
-/** Streams the first five events and a part of the sixth, without a length or chunks, and ends. */
-function cutStream(end: (socket: Socket) => void): Behaviour {
+/** Streams five events and part of the sixth in an unframed response, then ends the connection. */
+function truncateStream(end: (socket: Socket) => void): Behaviour {
   return (request, _response, engine) => {
     const { socket } = request;
-    beginUnframed(request, engine, 'text/event-stream');
-    const whole = [1, 2, 3, 4, 5].map(eventOf).join('');
-    socket.write(`${whole}${eventOf(6).slice(0, 8)}`);
+    writeUnframedHead(request, engine, 'text/event-stream');
+    const completeEvents = [1, 2, 3, 4, 5].map(formatEvent).join('');
+    socket.write(`${completeEvents}${formatEvent(6).slice(0, 8)}`);
     end(socket);
   };
 }
 
-/** Answers with a body. */
-export function answers(body: string): Behaviour {
+/** Responds with a body. */
+export function respondWith(body: string): Behaviour {
   return (request, response, engine) => {
-    response.writeHead(200, head(request, engine));
+    response.writeHead(200, buildHeaders(request, engine));
     response.end(body);
   };
 }
 
-/** Behaviours with a name that tests use. */
+/** Behaviours that feature files refer to by name. */
 export const Behaviours = {
-  answers: answers('whole answer'),
-  /** Runs the request and breaks the connection. */
+  answers: respondWith('whole answer'),
+  /** Executes the request and resets the connection. */
   breaks: (request) => {
     request.socket.resetAndDestroy();
   },
-  /** Refuses without running. */
+  /** Rejects the request without executing it. */
   refuses: (_request, response) => {
     response.writeHead(503, { 'laburnumstream-not-executed': '1' });
     response.end();
   },
-  /** Runs the request and never answers. */
+  /** Executes the request and never responds. */
   hangs: () => undefined,
-  /** Answers after a while. */
+  /** Responds after a delay. */
   delays: async (request, response, engine) => {
     await sleep(delayMs);
-    answers('whole answer')(request, response, engine);
+    respondWith('whole answer')(request, response, engine);
   },
-  streams: streams(12),
-  /** Stops in the middle of the sixth event. */
+  streams: streamEvents(12),
+  /** Resets the connection in the middle of the sixth event. */
   stops: async (request, response, engine) => {
-    response.writeHead(200, { ...head(request, engine), 'content-type': 'text/event-stream' });
-    for (let id = 1; id <= 5; id += 1) response.write(eventOf(id));
+    response.writeHead(200, {
+      ...buildHeaders(request, engine),
+      'content-type': 'text/event-stream',
+    });
+    for (let id = 1; id <= 5; id += 1) response.write(formatEvent(id));
     response.write('id: 6\nda');
-    await sleep(eventGapMs);
+    await sleep(eventIntervalMs);
     request.socket.resetAndDestroy();
   },
-  /** Resets the connection within an answer without a length, right after its first bytes. */
+  /** Resets the connection right after the first bytes of an unframed response. */
   resetsAnswer: (request, _response, engine) => {
-    beginUnframed(request, engine, 'text/plain');
+    writeUnframedHead(request, engine, 'text/plain');
     request.socket.write('whole an');
     request.socket.resetAndDestroy();
   },
-  /** The same within a stream. */
-  resetsStream: cutStream((socket) => socket.resetAndDestroy()),
-  /** Closes the connection within an event of a stream without a length. */
-  endsWithinEvent: cutStream((socket) => socket.end()),
-  /** Streams without a length or chunks. */
+  /** Resets the connection within an event of an unframed stream. */
+  resetsStream: truncateStream((socket) => socket.resetAndDestroy()),
+  /** Closes the connection within an event of an unframed stream. */
+  endsWithinEvent: truncateStream((socket) => socket.end()),
+  /** Sends a complete unframed stream. */
   endsUnframed: (request, _response, engine) => {
-    beginUnframed(request, engine, 'text/event-stream');
-    for (let id = 1; id <= 12; id += 1) request.socket.write(eventOf(id));
+    writeUnframedHead(request, engine, 'text/event-stream');
+    for (let id = 1; id <= 12; id += 1) request.socket.write(formatEvent(id));
     request.socket.end();
   },
-  /** Is silent for long in the middle of a stream, and goes on. */
-  pauses: streams(12, (id) => sleep(id === 6 ? 1_300 : 0)),
+  /** Pauses in the middle of a stream, then continues. */
+  pauses: streamEvents(12, (id) => sleep(id === 6 ? 1_300 : 0)),
 } as const satisfies Record<string, Behaviour>;
 
-/** An engine, or another server of a service, on the users' platform. */
+/** A stand-in for an engine, or another server of a service, on the users' platform. */
 export class PlatformEngine {
-  /** Requests that it began to run, by their ids. */
-  readonly ran: string[] = [];
+  /** Ids of the requests whose execution started. */
+  readonly startedRequestIds: string[] = [];
 
-  /** Headers of the requests that came. */
-  readonly seen: IncomingMessage['headers'][] = [];
+  /** Headers of the received requests. */
+  readonly receivedHeaders: IncomingMessage['headers'][] = [];
 
-  /** Connections that callers closed while a request ran. */
-  left = 0;
+  /** Number of connections that callers closed while their request ran. */
+  clientDisconnects = 0;
 
   private constructor(
     readonly id: string,
@@ -142,12 +148,12 @@
     const engine = new PlatformEngine(id, server);
     server.on('request', (request: IncomingMessage, response: ServerResponse) => {
       request.resume();
-      engine.seen.push(request.headers);
+      engine.receivedHeaders.push(request.headers);
       if (behaviour !== Behaviours.refuses) {
-        engine.ran.push(String(request.headers['laburnumstream-request-id']));
+        engine.startedRequestIds.push(String(request.headers['laburnumstream-request-id']));
       }
       response.once('close', () => {
-        if (!response.writableFinished) engine.left += 1;
+        if (!response.writableFinished) engine.clientDisconnects += 1;
       });
       void behaviour(request, response, engine);
     });
@@ -164,7 +170,7 @@
     return `${address}:${port}`;
   }
 
-  /** Breaks every connection, as a crash does. */
+  /** Closes all connections, as a crash does. */
   closeConnections(): void {
     this.server.closeAllConnections();
   }
--- a/packages/standins/src/platformStore.ts
+++ b/packages/standins/src/platformStore.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** A key with its value and when it was last changed. */
+/** A key with its value and the revision of its last change. */
 interface Item {
   readonly Key: string;
   readonly Value: string;
@@ -12,8 +12,9 @@
   readonly Lease: number;
 }
 
-/** A write, or a removal. */
-type Event = Item | { readonly Key: string; readonly Revision: number; readonly Removed: true };
+/** A write or a removal, as a watch reports it. */
+type ChangeEvent =
+  Item | { readonly Key: string; readonly Revision: number; readonly Removed: true };
 
 interface Transaction {
   readonly Expected: readonly { readonly Key: string; readonly Revision: number }[];
@@ -27,7 +28,7 @@
 
 type Handler = (query: URLSearchParams, body: string, response: ServerResponse) => void;
 
-async function bodyOf(request: IncomingMessage): Promise<string> {
+async function readBody(request: IncomingMessage): Promise<string> {
   const parts: Buffer[] = [];
   for await (const part of request as AsyncIterable<Buffer>) parts.push(part);
   return Buffer.concat(parts).toString('utf8');
@@ -38,40 +39,40 @@
   response.end(JSON.stringify(body));
 }
 
-/** Breaks the connection when the answer is sent. */
-function loseAnswer(response: ServerResponse): void {
+/** Closes the connection instead of sending the response. */
+function dropResponse(response: ServerResponse): void {
   response.writeHead = (): ServerResponse => {
     response.destroy();
     return response;
   };
 }
 
-/** The users' platform store, as far as tests need it. */
+/** A stand-in for the users' platform store, limited to the calls that tests need. */
 export class PlatformStore {
-  /** Whether calls get no answer. */
+  /** Whether calls get no response. */
   isSilent = false;
 
-  /** Status that all calls get; undefined for right answers. */
-  refusal: number | undefined;
+  /** Status returned to all calls; undefined handles them normally. */
+  forcedStatus: number | undefined;
 
-  /** Delay before each call is carried out, in milliseconds. */
+  /** Delay before each call takes effect, in milliseconds. */
   delayMs = 0;
 
-  /** Whether an answer is lost although the call took effect. */
-  losesAnswer: () => boolean = () => false;
+  /** Decides for each call whether its response is lost although the call takes effect. */
+  shouldDropResponse: () => boolean = () => false;
 
   private readonly changed = new EventEmitter().setMaxListeners(0);
 
   private readonly items = new Map<string, Item>();
 
-  private readonly events: Event[] = [];
+  private readonly events: ChangeEvent[] = [];
 
   private revision = 1;
 
-  /** The oldest revision whose changes are still known. */
-  private oldest = 0;
+  /** Revision up to which the history of changes has been compacted. */
+  private compactedRevision = 0;
 
-  private leases = 0;
+  private lastLease = 0;
 
   private readonly handlers: Readonly<Record<string, Handler>> = {
     '/-/kv-range': (query, _body, response) => {
@@ -82,10 +83,10 @@
     '/-/kv-watch': (query, _body, response) => this.watch(query, response),
     '/-/kv-txn': (_query, body, response) => {
       const { Expected, Writes, Remove } = JSON.parse(body) as Transaction;
-      const holds = Expected.every(
+      const isConditionMet = Expected.every(
         ({ Key, Revision }) => (this.items.get(Key)?.Revision ?? 0) === Revision,
       );
-      if (!holds) {
+      if (!isConditionMet) {
         send(response, 412, { Items: [] });
         return;
       }
@@ -95,14 +96,14 @@
     },
     '/-/kv-lease': (_query, body, response) => {
       const { TtlMs } = JSON.parse(body) as { TtlMs: number };
-      this.leases += 1;
-      send(response, 200, { Lease: this.leases, TtlMs });
+      this.lastLease += 1;
+      send(response, 200, { Lease: this.lastLease, TtlMs });
     },
   };
 
   private constructor(private readonly server: Server) {
     server.on('request', (request: IncomingMessage, response: ServerResponse) => {
-      void this.answer(request, response);
+      void this.handle(request, response);
     });
   }
 
@@ -119,7 +120,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Writes a value as operators and engines do. */
+  /** Writes a value in the encoding that operators and engines use. */
   write(key: string, value: object): void {
     this.put(key, Buffer.from(JSON.stringify(value)).toString('base64'), 0);
   }
@@ -136,9 +137,9 @@
     return this.revision;
   }
 
-  /** Drops the history. */
+  /** Compacts the history: watches after an earlier revision get a 410. */
   compact(): void {
-    this.oldest = this.revision;
+    this.compactedRevision = this.revision;
   }
 
   close(): void {
@@ -154,15 +155,15 @@
     this.changed.emit('change');
   }
 
-  private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const body = await bodyOf(request);
+  private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    const body = await readBody(request);
     if (this.isSilent) return;
-    if (this.refusal !== undefined) {
-      send(response, this.refusal, {});
+    if (this.forcedStatus !== undefined) {
+      send(response, this.forcedStatus, {});
       return;
     }
     if (this.delayMs > 0) await sleep(this.delayMs);
-    if (this.losesAnswer()) loseAnswer(response);
+    if (this.shouldDropResponse()) dropResponse(response);
     const url = new URL(request.url ?? '/', 'http://store');
     const handler = this.handlers[url.pathname];
     if (handler) handler(url.searchParams, body, response);
@@ -172,29 +173,29 @@
   private watch(query: URLSearchParams, response: ServerResponse): void {
     const prefix = query.get('PathPrefix') ?? '';
     const after = Number(query.get('After'));
-    if (after < this.oldest) {
+    if (after < this.compactedRevision) {
       send(response, 410, {});
       return;
     }
-    const eventsNow = (): Event[] =>
+    const getPendingEvents = (): ChangeEvent[] =>
       this.events.filter(({ Key, Revision }) => Key.startsWith(prefix) && Revision > after);
-    const waiting = new AbortController();
-    const answer = (): void => {
-      waiting.abort();
+    const finished = new AbortController();
+    const respond = (): void => {
+      finished.abort();
       if (!this.isSilent && !response.destroyed) {
-        send(response, 200, { events: eventsNow(), AsOf: this.revision });
+        send(response, 200, { events: getPendingEvents(), AsOf: this.revision });
       }
     };
-    const look = (): void => {
-      if (eventsNow().length > 0) answer();
+    const respondIfChanged = (): void => {
+      if (getPendingEvents().length > 0) respond();
     };
-    const timer = setTimeout(answer, Number(query.get('WaitMs')));
-    waiting.signal.addEventListener('abort', () => {
+    const timer = setTimeout(respond, Number(query.get('WaitMs')));
+    finished.signal.addEventListener('abort', () => {
       clearTimeout(timer);
-      this.changed.off('change', look);
+      this.changed.off('change', respondIfChanged);
     });
-    response.once('close', () => waiting.abort());
-    this.changed.on('change', look);
-    look();
+    response.once('close', () => finished.abort());
+    this.changed.on('change', respondIfChanged);
+    respondIfChanged();
   }
 }
