--- a/packages/standins/src/relay.ts
+++ b/packages/standins/src/relay.ts
@@ -1,43 +1,43 @@
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 
-/** How a relay treats its connections. */
+/** How a relay handles its connections. */
 export const RelayMode = {
-  /** Passes everything on. */
+  /** Forwards everything. */
   open: 'open',
-  /** Ends connections and refuses new ones. */
+  /** Closes existing connections, and closes new ones right after accepting them. */
   cut: 'cut',
-  /** Keeps present connections open but passes nothing on them; new ones work. */
-  silentOld: 'silentOld',
-  /** Accepts connections but passes nothing. */
+  /** Keeps existing connections open but forwards nothing on them; new connections work. */
+  silentExisting: 'silentExisting',
+  /** Accepts connections but forwards nothing. */
   silent: 'silent',
-  /** Does not listen, and ends present connections. */
+  /** Stops listening and closes existing connections. */
   refused: 'refused',
-  /** Passes what callers send, and loses what comes back. */
-  answersLost: 'answersLost',
-  /** Loses what callers send, and passes what comes back. */
+  /** Forwards requests and drops responses. */
+  responsesLost: 'responsesLost',
+  /** Drops requests and forwards responses. */
   requestsLost: 'requestsLost',
-  /** Passes the first half of each part of an answer and resets the connection at once. */
-  cutShort: 'cutShort',
+  /** Forwards the first half of the next response data, then resets the connection. */
+  truncated: 'truncated',
 } as const;
 
 /** One of the values of {@link RelayMode}. */
 export type RelayMode = (typeof RelayMode)[keyof typeof RelayMode];
 
-interface Pair {
-  readonly near: Socket;
-  readonly far: Socket;
+interface Connection {
+  readonly downstream: Socket;
+  readonly upstream: Socket;
   muted: boolean;
 }
 
-/** Modes that end present connections. */
-const endingModes: readonly RelayMode[] = [RelayMode.cut, RelayMode.refused];
-/** Modes that silence present connections for good. */
-const mutingModes: readonly RelayMode[] = [RelayMode.silent, RelayMode.silentOld];
+/** Modes that close existing connections. */
+const closingModes: readonly RelayMode[] = [RelayMode.cut, RelayMode.refused];
+/** Modes that permanently stop forwarding on existing connections. */
+const mutingModes: readonly RelayMode[] = [RelayMode.silent, RelayMode.silentExisting];
 
-/** A relay in front of one address that cuts or silences its connections. */
+/** A TCP relay in front of one address that injects connection faults. */
 export class Relay {
-  private readonly pairs = new Set<Pair>();
+  private readonly connections = new Set<Connection>();
 
   private readonly server: Server;
 
@@ -47,11 +47,11 @@
 
   constructor(
     private readonly targetPort: number,
-    /** Delay of all bytes, in milliseconds. */
+    /** Delay of all forwarded bytes, in milliseconds. */
     public delayMs = 0,
     private readonly host = '127.0.0.1',
   ) {
-    this.server = createServer((near) => this.accept(near));
+    this.server = createServer((downstream) => this.accept(downstream));
   }
 
   get address(): string {
@@ -68,75 +68,78 @@
     return this;
   }
 
-  /** Changes the treatment of present and new connections. */
-  set(mode: RelayMode): void {
+  /** Sets the mode of existing and new connections. */
+  setMode(mode: RelayMode): void {
     this.mode = mode;
-    if (endingModes.includes(mode)) this.pairs.forEach((pair) => this.end(pair));
-    this.pairs.forEach((pair) => {
-      Object.assign(pair, { muted: pair.muted || mutingModes.includes(mode) });
+    if (closingModes.includes(mode))
+      this.connections.forEach((connection) => this.close(connection));
+    this.connections.forEach((connection) => {
+      Object.assign(connection, { muted: connection.muted || mutingModes.includes(mode) });
     });
     if (mode === RelayMode.refused) this.server.close();
     else if (!this.server.listening && this.port > 0) this.server.listen(this.port, this.host);
   }
 
-  /** Resets present connections. */
+  /** Resets existing connections. */
   reset(): void {
-    this.pairs.forEach((pair) => {
-      pair.near.resetAndDestroy();
-      this.end(pair);
+    this.connections.forEach((connection) => {
+      connection.downstream.resetAndDestroy();
+      this.close(connection);
     });
   }
 
   async stop(): Promise<void> {
-    this.pairs.forEach((pair) => this.end(pair));
+    this.connections.forEach((connection) => this.close(connection));
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
     });
   }
 
-  private accept(near: Socket): void {
+  private accept(downstream: Socket): void {
     if (this.mode === RelayMode.cut) {
-      near.destroy();
+      downstream.destroy();
       return;
     }
-    const far = connect(this.targetPort, '127.0.0.1');
-    const pair: Pair = { near, far, muted: this.mode === RelayMode.silent };
-    this.pairs.add(pair);
-    this.pass(pair, near, far);
-    this.pass(pair, far, near);
+    const upstream = connect(this.targetPort, '127.0.0.1');
+    const connection: Connection = { downstream, upstream, muted: this.mode === RelayMode.silent };
+    this.connections.add(connection);
+    this.forward(connection, downstream, upstream);
+    this.forward(connection, upstream, downstream);
   }
 
-  private pass(pair: Pair, from: Socket, to: Socket): void {
+  private forward(connection: Connection, from: Socket, to: Socket): void {
     from.setNoDelay(true);
-    const lost = from === pair.near ? RelayMode.requestsLost : RelayMode.answersLost;
+    const droppingMode =
+      from === connection.downstream ? RelayMode.requestsLost : RelayMode.responsesLost;
     from.on('data', (bytes) => {
-      if (pair.muted) return;
-      // A connection that has lost bytes passes nothing more in that direction.
-      if (this.mode === lost) from.removeAllListeners('data').resume();
-      else if (this.mode === RelayMode.cutShort && from === pair.far) this.cutShort(pair, bytes);
+      if (connection.muted) return;
+      // Once bytes were dropped, nothing more is forwarded in that direction.
+      if (this.mode === droppingMode) from.removeAllListeners('data').resume();
+      else if (this.mode === RelayMode.truncated && from === connection.upstream)
+        this.truncate(connection, bytes);
       else if (this.delayMs > 0) setTimeout(() => to.write(bytes), this.delayMs);
       else to.write(bytes);
     });
     from.on('close', () => {
-      if (pair.muted) return;
-      // What was delayed still arrives before the end.
+      if (connection.muted) return;
+      // Delayed bytes still arrive before the close.
       setTimeout(() => {
         to.destroySoon();
-        this.pairs.delete(pair);
+        this.connections.delete(connection);
       }, this.delayMs);
     });
     from.on('error', () => undefined);
   }
 
-  private cutShort(pair: Pair, bytes: Buffer): void {
-    pair.near.write(bytes.subarray(0, Math.ceil(bytes.length / 2)));
-    pair.near.resetAndDestroy();
-    this.end(pair);
+  private truncate(connection: Connection, bytes: Buffer): void {
+    connection.downstream.write(bytes.subarray(0, Math.ceil(bytes.length / 2)));
+    connection.downstream.resetAndDestroy();
+    this.close(connection);
   }
 
-  private end(pair: Pair): void {
-    this.pairs.delete(pair);
-    pair.near.destroy();
-    pair.far.destroy();
+  private close(connection: Connection): void {
+    this.connections.delete(connection);
+    connection.downstream.destroy();
+    connection.upstream.destroy();
   }
 }
--- a/packages/standins/src/virtualClock.ts
+++ b/packages/standins/src/virtualClock.ts
@@ -1,21 +1,21 @@
-import { setImmediate as drained } from 'node:timers/promises';
+import { setImmediate as nextImmediate } from 'node:timers/promises';
 import { Aborted } from '@laburnumstream/common';
 import type { Clock } from '@laburnumstream/common';
 
 interface Timer {
   readonly at: number;
-  readonly order: number;
-  readonly wake: () => void;
+  readonly sequence: number;
+  readonly callback: () => void;
 }
 
-/** A clock that moves only when it is told to; equal seeds give equal runs. */
+/** A clock that advances only on request, so that equal seeds give equal runs. */
 export class VirtualClock implements Clock {
-  /** A binary heap by time, then by order of creation. */
+  /** A binary heap ordered by time, then by order of creation. */
   private readonly timers: Timer[] = [];
 
   private time = 0;
 
-  private created = 0;
+  private timersCreated = 0;
 
   constructor(private readonly wallStart = 1_700_000_000_000) {}
 
@@ -39,37 +39,37 @@
         resolve();
       };
       signal?.addEventListener('abort', stop, { once: true });
-      this.at(this.time + ms, wake);
+      this.schedule(this.time + ms, wake);
     });
   }
 
-  /** Calls back at a time. */
-  at(time: number, wake: () => void): void {
-    this.created += 1;
-    this.push({ at: Math.max(time, this.time), order: this.created, wake });
+  /** Schedules a callback for a time; past times mean now. */
+  schedule(time: number, callback: () => void): void {
+    this.timersCreated += 1;
+    this.push({ at: Math.max(time, this.time), sequence: this.timersCreated, callback });
   }
 
-  /** Runs everything that is due up to a time. */
+  /** Advances to a time and runs the callbacks due until then. */
   async runUntil(time: number): Promise<void> {
-    await drained();
+    await nextImmediate();
     while (this.timers[0] && this.timers[0].at <= time) {
-      const { at, wake } = this.pop();
+      const { at, callback } = this.pop();
       this.time = at;
-      wake();
-      if (this.timers[0]?.at !== at) await drained();
+      callback();
+      if (this.timers[0]?.at !== at) await nextImmediate();
     }
     this.time = time;
   }
 
-  /** Runs until a promise settles; gives up after `limitMs`. */
-  async runFor<Value>(promise: Promise<Value>, limitMs = 600_000): Promise<Value> {
+  /** Advances until a promise settles, by at most `limitMs`. */
+  async runUntilSettled<Value>(promise: Promise<Value>, limitMs = 600_000): Promise<Value> {
     const limit = this.time + limitMs;
     const state = { settled: false };
     const settle = (): void => {
       state.settled = true;
     };
     promise.then(settle, settle);
-    await drained();
+    await nextImmediate();
     while (!state.settled && this.timers[0] && this.timers[0].at <= limit) {
       await this.runUntil(this.timers[0].at);
     }
@@ -82,7 +82,7 @@
     timers.push(timer);
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      if (before(timers[parent]!, timer)) break;
+      if (isBefore(timers[parent]!, timer)) break;
       timers[index] = timers[parent]!;
       index = parent;
     }
@@ -99,9 +99,9 @@
       const left = 2 * index + 1;
       if (left >= timers.length) break;
       const right = left + 1;
-      const isRight = right < timers.length && before(timers[right]!, timers[left]!);
+      const isRight = right < timers.length && isBefore(timers[right]!, timers[left]!);
       const child = isRight ? right : left;
-      if (before(last, timers[child]!)) break;
+      if (isBefore(last, timers[child]!)) break;
       timers[index] = timers[child]!;
       index = child;
     }
@@ -110,6 +110,6 @@
   }
 }
 
-function before(a: Timer, b: Timer): boolean {
-  return a.at < b.at || (a.at === b.at && a.order < b.order);
+function isBefore(a: Timer, b: Timer): boolean {
+  return a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 }
