--- a/bench/src/soak/answers.ts
+++ b/bench/src/soak/answers.ts
@@ -10,7 +10,7 @@
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** Builds the expected response body of the plain service: the request's id, a digest and a payload. */
+/** Builds a response body of the plain service: the request's id, a digest and a payload. */
 export function buildPlainBody(id: string): string {
   const size = minPayloadChars + (hash32(id) % payloadCharsRange);
   const payload = sha256(id)
@@ -22,8 +22,10 @@
 /** Describes the fault of a response body of the plain service; undefined when it is intact. */
 export function findPlainFault(id: string, body: string): string | undefined {
   const [ownerId = '', digest, payload = ''] = body.split(' ');
-  if (ownerId !== id) return `is of ${ownerId.slice(0, 40) || 'nobody'}`;
-  return digest === sha256(`${id} ${payload}`) ? undefined : `is cut after ${body.length} bytes`;
+  if (ownerId !== id) return `belongs to ${ownerId.slice(0, 40) || 'no request'}`;
+  return digest === sha256(`${id} ${payload}`)
+    ? undefined
+    : `is truncated after ${body.length} bytes`;
 }
 
 /** Number of events in the response stream of a request. */
@@ -44,11 +46,12 @@
   let last = 0;
   for (const part of parts) {
     const [, ownerId, event, ,] = /^id: \d+\ndata: (\S+) (\d+) (\d+) (\d+)$/.exec(part) ?? [];
-    if (ownerId !== id) return `holds an event of ${ownerId ?? 'nobody'}`;
+    if (ownerId !== id) return `contains an event of ${ownerId ?? 'no request'}`;
     if (Number(event) !== last + 1) return `has event ${event} after ${last}`;
     last += 1;
   }
-  if (isComplete && last !== getEventCount(id))
+  if (isComplete && last !== getEventCount(id)) {
     return `ends after ${last} of ${getEventCount(id)} events`;
+  }
   return undefined;
 }
--- a/bench/src/soak/behaviours.ts
+++ b/bench/src/soak/behaviours.ts
@@ -33,7 +33,7 @@
 const Framing = { length: 'length', chunks: 'chunks', close: 'close' } as const;
 type Framing = (typeof Framing)[keyof typeof Framing];
 
-/** Chooses the framing by the request id, so that all kinds occur; some responses end with their connection. */
+/** Chooses the framing by the last digit of the request id, so that all kinds occur. */
 function chooseFraming(id: string): Framing {
   if (id.endsWith('7')) return Framing.close;
   return id.endsWith('3') ? Framing.chunks : Framing.length;
@@ -86,7 +86,7 @@
   run.response.destroy();
 }
 
-/** Responses to send a second time when the next request arrives on their connection. */
+/** Responses to send again when the next request arrives on their connection. */
 const lateResponses = new WeakMap<Socket, string>();
 
 /** Sends the pending duplicate response of a connection, if there is one. */
@@ -157,7 +157,7 @@
   [SoakService.model]: (run) => streamEvents(run),
 };
 
-/** Faulty behaviours of the engines of each service; the draw is uniform, so duplicates double the probability. */
+/** Faulty behaviours of the engines of each service; listed twice means twice as likely. */
 export const misbehaviours: Readonly<Record<string, readonly RunBehaviour[]>> = {
   [SoakService.desk]: [
     truncateResponse,
--- a/bench/src/soak/caller.ts
+++ b/bench/src/soak/caller.ts
@@ -12,7 +12,7 @@
 
 const maxGapMs = 60;
 const unreachedGapMs = 150;
-/** Time after the deadline of a request at which the caller closes the connection, in milliseconds. */
+/** Time after its deadline at which a caller abandons a request, in milliseconds. */
 const responseMarginMs = 5_000;
 /** Time before the deadline in which a request may be cut off, in milliseconds. */
 const deadlineMarginMs = 300;
@@ -128,8 +128,9 @@
           timeOut();
         }, limitMs),
       );
-      if (disconnectAfterMs !== undefined)
+      if (disconnectAfterMs !== undefined) {
         timers.push(setTimeout(disconnect(RequestOutcome.left), disconnectAfterMs));
+      }
       this.handleEvents(sent, request, finish);
       sent.end(request.body);
     });
@@ -142,7 +143,7 @@
   ): void {
     sent.once('error', (error: NodeJS.ErrnoException) => {
       if (error.code?.startsWith('HPE_') && error.code !== 'HPE_INVALID_EOF_STATE') {
-        this.recordViolation(request, `got no HTTP answer: ${error.code}`);
+        this.recordViolation(request, `got an invalid HTTP response: ${error.code}`);
       }
       finish(error.code === 'ECONNREFUSED' ? RequestOutcome.unreached : RequestOutcome.cut);
     });
@@ -167,33 +168,37 @@
       this.recordViolation(request, 'got a success that no endpoint signed');
     }
     if (headers['laburnumstream-request-id'] !== id) {
-      this.recordViolation(request, `got the head of ${headers['laburnumstream-request-id']}`);
+      this.recordViolation(request, `got the headers of ${headers['laburnumstream-request-id']}`);
     }
     const fault = isStream
       ? findStreamFault(id, body, complete)
       : complete && findPlainFault(id, body);
-    if (fault) this.recordViolation(request, `got an answer that ${fault}`);
+    if (fault) this.recordViolation(request, `got a response that ${fault}`);
     return complete ? RequestOutcome.served : RequestOutcome.cut;
   }
 
-  /** Reports a request that was cut off while running, unless its entry or an engine was disturbed or the deadline was near. */
+  /**
+   * Reports a running request whose connection was closed, unless its deadline was near, or its
+   * entry or an engine was disturbed. An entry that is asked to stop has to finish its requests.
+   */
   private checkLost({ id, route, entry, sentAt, deadlineMs }: SentRequest): void {
     const { history } = this.context;
     const engines = history.runs.get(id) ?? [];
     const isLate = history.now() - sentAt > deadlineMs - deadlineMarginMs;
     if (engines.length === 0 || isLate) return;
-    if (!history.isUndisturbed([getAbruptFaultName(entry), ...engines], SoakBounds.undisturbedMs))
+    if (!history.isUndisturbed([getAbruptFaultName(entry), ...engines], SoakBounds.undisturbedMs)) {
       return;
+    }
     history.recordViolation(SoakRule.lost, `${route.name} ${id} was cut by ${entry}`);
   }
 
-  /** Reports a request that an undisturbed entry left open beyond its time limit. */
+  /** Reports a request that an undisturbed entry has not completed within its time limit. */
   private checkAnswered({ id, entry, route }: SentRequest, limitMs: number): void {
     const { history } = this.context;
     if (!history.isUndisturbed([entry], limitMs)) return;
     history.recordViolation(
       SoakRule.answered,
-      `${route.name} ${id} at ${entry} has no end in ${limitMs} ms`,
+      `${route.name} ${id} at ${entry} is still open after ${limitMs} ms`,
     );
   }
 
--- a/bench/src/soak/checks.ts
+++ b/bench/src/soak/checks.ts
@@ -44,7 +44,7 @@
   const [worst] = excesses;
   if (!worst) return;
   const atMs = Math.round(worst.until);
-  const text = `${service}: ${worst.count} repeats in the window up to ${atMs} ms, ${worst.bound} allowed`;
+  const text = `${service}: ${worst.count} retries in the window up to ${atMs} ms, ${worst.bound} allowed`;
   history.recordViolation(SoakRule.budget, text);
 }
 
--- a/bench/src/soak/engine.ts
+++ b/bench/src/soak/engine.ts
@@ -27,11 +27,11 @@
 export interface EngineContext {
   readonly history: SoakHistory;
   readonly random: Random;
-  /** Whether a key was already revoked when a request was sent, at a run time in milliseconds. */
+  /** Whether a key was already revoked when a request was sent; `sentAt` is in run time. */
   readonly isKeyRevoked: (key: string, sentAt: number) => boolean;
 }
 
-/** A simulated engine that records its executions, checks what it receives, and misbehaves on demand. */
+/** A simulated engine that records and checks its requests, and misbehaves on demand. */
 export class SoakEngine implements RunningEngine {
   bornAt = Date.now();
 
@@ -197,14 +197,14 @@
     await this.run({ id, request, response, engine: this });
   }
 
-  /** Reports a request that reached a drained engine although its entry could have known of the drain. */
+  /** Reports a request to a drained engine, unless a fault may have hidden the drain. */
   private checkDrain(request: IncomingMessage, id: string, entry: string): void {
     const { history } = this.context;
     const isAddressed = getHeader(request, 'expect-instance') === this.id;
     if (!isAddressed || history.now() <= this.drainedAt) return;
     const undisturbedMs = SoakBounds.undisturbedMs + SoakBounds.drainMs;
     if (!history.isUndisturbed([entry, 'store', this.name], undisturbedMs)) return;
-    history.recordViolation(SoakRule.drain, `${id} by ${entry} reached ${this.id} after its end`);
+    history.recordViolation(SoakRule.drain, `${id} by ${entry} reached ${this.id} after its drain`);
   }
 
   /** Returns the status that rejects a request without executing it; undefined to execute it. */
--- a/bench/src/soak/faults/changes.ts
+++ b/bench/src/soak/faults/changes.ts
@@ -12,8 +12,8 @@
   await interruptibleSleep(durationMs, signal);
 }
 
-/** Time for which an isolated entry keeps running after the revocation bound of a removed key, in milliseconds. */
-const unrevokedMarginMs = 3_000;
+/** Time beyond the revocation bound for which an entry stays isolated, in milliseconds. */
+const isolationMarginMs = 3_000;
 
 /** Removes a key while an entry cannot reach the store. */
 async function keysChangeUnheard(context: SoakFaultContext): Promise<void> {
@@ -22,7 +22,7 @@
   await withFault(context, [name], async () => {
     storeRelay.setMode(RelayMode.silent);
     fleet.rotateKeys();
-    await interruptibleSleep(SoakBounds.revocationMs + unrevokedMarginMs, signal);
+    await interruptibleSleep(SoakBounds.revocationMs + isolationMarginMs, signal);
     storeRelay.setMode(RelayMode.open);
     storeRelay.reset();
   });
@@ -35,7 +35,7 @@
   await withFault(context, [name, getAbruptFaultName(name)], async () => {
     process.pause();
     fleet.rotateKeys();
-    await interruptibleSleep(SoakBounds.revocationMs + unrevokedMarginMs, signal);
+    await interruptibleSleep(SoakBounds.revocationMs + isolationMarginMs, signal);
     process.resume();
   });
 }
--- a/bench/src/soak/faults/engineFaults.ts
+++ b/bench/src/soak/faults/engineFaults.ts
@@ -7,7 +7,7 @@
 
 const misbehaviourShare = 0.4;
 const maxDownMs = 2_500;
-/** Time beyond the drain bound in which requests may still reach a draining engine on a loaded machine, in milliseconds. */
+/** Time beyond the drain bound that a loaded machine may need, in milliseconds. */
 const drainMarginMs = 500;
 
 async function engineMisbehaves(context: SoakFaultContext): Promise<void> {
@@ -34,7 +34,7 @@
   await interruptibleSleep(context.durationMs, context.signal);
 }
 
-/** Drains an engine, which serves until the drain bound, then crashes it; it restarts under a new id. */
+/** Drains an engine and crashes it after the drain bound; it restarts under a new id. */
 async function engineLeaves(context: SoakFaultContext): Promise<void> {
   const { fleet, signal, random, durationMs } = context;
   const endpoint = pickEndpoint(context);
--- a/bench/src/soak/faults/linkFaults.ts
+++ b/bench/src/soak/faults/linkFaults.ts
@@ -10,7 +10,8 @@
   relay.setMode(mode);
   await interruptibleSleep(context.durationMs, context.signal);
   relay.setMode(RelayMode.open);
-  // Connections that were silenced or lost bytes are unusable. `silentExisting` leaves them open, so that entries have to detect them.
+  // Connections that were silenced or lost bytes are unusable. `silentExisting` leaves them open,
+  // so that the programs have to detect them.
   if (mode !== RelayMode.silentExisting) relay.reset();
 }
 
--- a/bench/src/soak/history.ts
+++ b/bench/src/soak/history.ts
@@ -19,11 +19,11 @@
   key: 'key',
   /** More retries in a window than the configured budget allows. */
   budget: 'budget',
-  /** A request reached an endpoint with a different body, path or workspace, or a longer deadline than its caller sent. */
+  /** A request reached an endpoint altered, with its API key or with a longer deadline. */
   asked: 'asked',
   /** A request reached an endpoint after its drain had ended. */
   drain: 'drain',
-  /** An undisturbed entry closed the connection of a forwarded request without a complete response. */
+  /** An undisturbed entry closed a connection while its request was running. */
   lost: 'lost',
   /** A request was still open long after its deadline. */
   answered: 'answered',
@@ -82,7 +82,7 @@
   readonly isRetry: boolean;
 }
 
-/** Name under which faults that hit a process itself without notice are tracked; link faults are not included. */
+/** Name under which abrupt faults of a process are tracked; its link faults are not included. */
 export function getAbruptFaultName(process: string): string {
   return `${process} without notice`;
 }
@@ -99,6 +99,7 @@
 export class SoakHistory {
   readonly violations: Violation[] = [];
 
+  /** Actions on the fleet in order, such as injected faults. */
   readonly actions: { readonly text: string; readonly atMs: number }[] = [];
 
   readonly requests = new Map<string, SentRequest>();
--- a/bench/src/soak/process.ts
+++ b/bench/src/soak/process.ts
@@ -42,7 +42,10 @@
 
   private isRestarting = false;
 
-  /** Whether it was paused since it was last asked to stop; a paused process may miss the shutdown bound. */
+  /**
+   * Whether it was paused since it was last asked to stop; a paused process may miss the shutdown
+   * bound.
+   */
   private wasPaused = false;
 
   private isPaused = false;
@@ -74,7 +77,7 @@
     void this.watchExit(this.starts);
   }
 
-  /** Starts the process and waits for its first log line; throws a `Failure` when it cannot be started. */
+  /** Starts the process and waits for its first log line; throws a `Failure` if none comes. */
   async startAndWait(): Promise<void> {
     await this.start();
     const deadline = this.history.now() + startTimeoutMs;
@@ -146,7 +149,7 @@
   private async watchExit(start: number): Promise<void> {
     const code = await this.program.ended();
     if (start !== this.starts || this.isExitExpected) return;
-    const text = `${this.name} ended by itself with ${code}: ${this.program.errors.slice(-300)}`;
+    const text = `${this.name} exited unexpectedly with ${code}: ${this.program.errors.slice(-300)}`;
     this.history.recordViolation(SoakRule.process, text);
   }
 }
--- a/bench/src/soak/soakRun.ts
+++ b/bench/src/soak/soakRun.ts
@@ -84,8 +84,9 @@
     const entryFaultNames = fleet.entries.flatMap(({ name }) => [name, getAbruptFaultName(name)]);
     const stalls = new StallDetector(this.history, [...engineNames, ...entryFaultNames]);
     try {
-      if (await this.checkWorking(fleet, startTimeoutMs, stopped))
+      if (await this.checkWorking(fleet, startTimeoutMs, stopped)) {
         await this.runPhases(fleet, stopped);
+      }
       await Promise.all(fleet.processes.map((each) => each.stop()));
     } finally {
       stalls.stop();
@@ -166,7 +167,10 @@
     return min + this.random.next() * (max - min);
   }
 
-  /** Whether, within the time limit, every entry serves every route and every engine has loaded the target version. */
+  /**
+   * Waits until every entry serves every route and every engine has loaded the target version;
+   * false when that takes longer than `withinMs`.
+   */
   private async checkWorking(
     fleet: SoakFleet,
     withinMs: number,
--- a/bench/src/soak/weights.ts
+++ b/bench/src/soak/weights.ts
@@ -98,8 +98,9 @@
       const bytes = this.staged.get(piece);
       return !bytes || !bytes.equals(buildPiece(Version, piece));
     });
-    if (invalidPieces.length > 0)
-      this.onViolation(`version ${Version} lacks the pieces ${invalidPieces.join()}`);
+    if (invalidPieces.length > 0) {
+      this.onViolation(`version ${Version}: missing or wrong pieces ${invalidPieces.join()}`);
+    }
     this.orderCount += 1;
     this.orderedVersion = Version;
     this.isLoading = true;
--- a/packages/standins/src/engineStandIn.ts
+++ b/packages/standins/src/engineStandIn.ts
@@ -12,9 +12,9 @@
   readonly prefillMs: number;
   /** Time between tokens, in milliseconds; 0 sends all tokens at once. */
   readonly tokenMs: number;
-  /** Work units that a warm engine runs concurrently; further requests are queued by priority. */
+  /** Work units that a warm engine runs concurrently; more are queued by priority. */
   readonly capacity: number;
-  /** Work units that a cold engine can hold before it crashes; a single request never crashes it. */
+  /** Work units above which a cold engine crashes; a single request never crashes it. */
   readonly coldCapacity: number;
   /** Completed requests after which the engine is warm. */
   readonly warmAfter: number;
@@ -57,7 +57,7 @@
 
 const restartDelayMs = 300;
 
-/** The deterministic token at an index; it depends on the weights, so tests can tell which weights produced it. */
+/** Returns the token at an index; it depends on the weights, so tests can tell them apart. */
 export function computeToken(weights: string, prompt: string, index: number): string {
   return ` ${hash32(`${weights}\n${prompt}\n${index}`).toString(36)}`;
 }
@@ -131,7 +131,7 @@
     this.completedSinceColdStart = 0;
   }
 
-  /** Restarts immediately: the engine is cold but keeps its weights; all requests and connections are lost. */
+  /** Restarts cold at once with the same weights; all requests and connections are lost. */
   restart(): void {
     this.turnCold();
     this.incarnation += 1;
@@ -142,7 +142,7 @@
     this.closeConnections();
   }
 
-  /** Crashes with all its requests; after a short delay the engine is up again, cold and without weights. */
+  /** Crashes, losing all requests; restarts after a delay, cold and without weights. */
   crash(): void {
     this.crashes += 1;
     this.weights = '';
@@ -267,7 +267,7 @@
     }
   }
 
-  /** Streams tokens until the end, a restart, a cancellation or a disconnect; returns whether the stream is complete. */
+  /** Streams tokens; returns false if a restart, a cancellation or a disconnect ends it early. */
   private async stream(
     generation: Generation,
     response: ServerResponse,
--- a/packages/standins/src/keyValueStandIn.ts
+++ b/packages/standins/src/keyValueStandIn.ts
@@ -121,11 +121,10 @@
   private handlePut(key: string, url: URL, body: string, response: ServerResponse): void {
     const ifRevision = url.searchParams.get('ifRevision');
     const lease = url.searchParams.get('lease') ?? '';
-    const currentRevision = this.values.get(key)?.revision ?? 0;
+    const revision = this.values.get(key)?.revision ?? 0;
     if (Buffer.byteLength(body) > maxValueBytes) this.send(response, 413);
     else if (lease && !this.leases.has(lease)) this.send(response, 404);
-    else if (ifRevision !== null && Number(ifRevision) !== currentRevision)
-      this.send(response, 409);
+    else if (ifRevision !== null && Number(ifRevision) !== revision) this.send(response, 409);
     else {
       this.revision += 1;
       this.values.set(key, { key, value: body, revision: this.revision, lease });
@@ -136,10 +135,9 @@
 
   private handleDelete(key: string, url: URL, response: ServerResponse): void {
     const ifRevision = url.searchParams.get('ifRevision');
-    const currentRevision = this.values.get(key)?.revision ?? 0;
-    if (currentRevision === 0) this.send(response, 404);
-    else if (ifRevision !== null && Number(ifRevision) !== currentRevision)
-      this.send(response, 409);
+    const revision = this.values.get(key)?.revision ?? 0;
+    if (revision === 0) this.send(response, 404);
+    else if (ifRevision !== null && Number(ifRevision) !== revision) this.send(response, 409);
     else {
       this.remove(key);
       this.send(response, 200);
--- a/packages/standins/src/memoryKeyValueStore.ts
+++ b/packages/standins/src/memoryKeyValueStore.ts
@@ -73,7 +73,7 @@
   remove(): Promise<void> {
     throw new Failure(
       'not_supported',
-      `The store in memory at ${this.clock.now()} removes no key.`,
+      `The in-memory store at ${this.clock.now()} cannot remove keys.`,
     );
   }
 
@@ -97,20 +97,20 @@
     const wakeSignal = signal ? AbortSignal.any([signal, changed.signal]) : changed.signal;
     await this.clock.sleep(waitMs, wakeSignal).catch(() => undefined);
     this.content.watchers.delete(wake);
-    if (this.isDown) throw new StoreUnavailable('The connection broke.');
+    if (this.isDown) throw new StoreUnavailable('The connection was lost.');
     return this.call('watched', getNewer, signal);
   }
 
   grantLease(): Promise<string> {
-    throw new Failure('not_supported', `The store in memory at ${this.clock.now()} has no leases.`);
+    throw new Failure('not_supported', `The in-memory store at ${this.clock.now()} has no leases.`);
   }
 
   renewLease(): Promise<void> {
-    throw new Failure('not_supported', `The store in memory at ${this.clock.now()} has no leases.`);
+    throw new Failure('not_supported', `The in-memory store at ${this.clock.now()} has no leases.`);
   }
 
   revokeLease(): Promise<void> {
-    throw new Failure('not_supported', `The store in memory at ${this.clock.now()} has no leases.`);
+    throw new Failure('not_supported', `The in-memory store at ${this.clock.now()} has no leases.`);
   }
 
   private async call<Value>(
@@ -138,6 +138,6 @@
 
   private async timeOut(signal?: AbortSignal): Promise<never> {
     await this.clock.sleep(timeoutMs, signal);
-    throw new StoreUnavailable('The answer did not come in time.');
+    throw new StoreUnavailable('The response did not arrive in time.');
   }
 }
--- a/packages/standins/src/memoryStoreContent.ts
+++ b/packages/standins/src/memoryStoreContent.ts
@@ -6,7 +6,7 @@
 
   revision = 0;
 
-  /** Whether conditional writes check their condition; false injects a fault that tests must detect. */
+  /** Whether conditional writes check their condition; false injects a fault for tests to detect. */
   checksConditions = true;
 
   readonly watchers = new Set<() => void>();
--- a/packages/standins/src/relay.ts
+++ b/packages/standins/src/relay.ts
@@ -71,8 +71,9 @@
   /** Sets the mode of existing and new connections. */
   setMode(mode: RelayMode): void {
     this.mode = mode;
-    if (closingModes.includes(mode))
+    if (closingModes.includes(mode)) {
       this.connections.forEach((connection) => this.close(connection));
+    }
     this.connections.forEach((connection) => {
       Object.assign(connection, { muted: connection.muted || mutingModes.includes(mode) });
     });
@@ -115,9 +116,9 @@
       if (connection.muted) return;
       // Once bytes were dropped, nothing more is forwarded in that direction.
       if (this.mode === droppingMode) from.removeAllListeners('data').resume();
-      else if (this.mode === RelayMode.truncated && from === connection.upstream)
+      else if (this.mode === RelayMode.truncated && from === connection.upstream) {
         this.truncate(connection, bytes);
-      else if (this.delayMs > 0) setTimeout(() => to.write(bytes), this.delayMs);
+      } else if (this.delayMs > 0) setTimeout(() => to.write(bytes), this.delayMs);
       else to.write(bytes);
     });
     from.on('close', () => {
--- a/packages/standins/src/tokenBucket.ts
+++ b/packages/standins/src/tokenBucket.ts
@@ -3,7 +3,7 @@
 const secondMs = 1_000;
 const burstMs = 20;
 
-/** Limits the bandwidth of a link; callers wait in a virtual queue that drains at a constant rate. */
+/** Limits the bandwidth of a link; callers queue for transmission at a constant rate. */
 export class TokenBucket {
   /** Time at which the link becomes idle, in milliseconds of `performance.now()`. */
   private freeAt = 0;
