--- a/bench/src/soak/behaviours.ts
+++ b/bench/src/soak/behaviours.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { buildHeaders } from '@laburnumstream/standins';
-import { formatEvent, getEventCount, buildPlainBody } from './answers.js';
+import { formatEvent, getEventCount, buildPlainBody } from './responses.js';
 import { SoakService } from './shape.js';
 
 const eventIntervalMs = 15;
--- a/bench/src/soak/caller.ts
+++ b/bench/src/soak/caller.ts
@@ -3,10 +3,10 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 import type { Random } from '@laburnumstream/common';
-import { findPlainFault, findStreamFault } from './answers.js';
 import { RequestOutcome, SoakRule, getAbruptFaultName } from './history.js';
 import type { SentRequest, SoakHistory } from './history.js';
-import { interruptibleSleep } from './pause.js';
+import { interruptibleSleep } from './interruptibleSleep.js';
+import { findPlainFault, findStreamFault } from './responses.js';
 import { SoakBounds, soakHost, soakRoutes } from './shape.js';
 import type { SoakRoute } from './shape.js';
 
--- a/bench/src/soak/checks.ts
+++ b/bench/src/soak/checks.ts
@@ -8,8 +8,9 @@
     const request = history.requests.get(id);
     if (!request || isIdempotent(request.route)) return;
     const label = `${request.route.name} ${id} at ${request.entry}`;
-    if (runs.length > 1)
+    if (runs.length > 1) {
       history.recordViolation(SoakRule.atMostOnce, `${label} ran at ${runs.join(', ')}`);
+    }
     if (history.outcomes.get(id) === RequestOutcome.refused) {
       history.recordViolation(SoakRule.refusal, `${label} was refused as not run and ran`);
     }
--- a/bench/src/soak/faults/changes.ts
+++ b/bench/src/soak/faults/changes.ts
@@ -1,6 +1,6 @@
 import { RelayMode } from '@laburnumstream/standins';
 import { getAbruptFaultName } from '../history.js';
-import { interruptibleSleep } from '../pause.js';
+import { interruptibleSleep } from '../interruptibleSleep.js';
 import { SoakBounds } from '../shape.js';
 import { withFault, pickEntry, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
--- a/bench/src/soak/faults/engineFaults.ts
+++ b/bench/src/soak/faults/engineFaults.ts
@@ -1,6 +1,6 @@
 import type { Random } from '@laburnumstream/common';
 import type { SoakEndpoint, SoakFleet } from '../fleet.js';
-import { interruptibleSleep } from '../pause.js';
+import { interruptibleSleep } from '../interruptibleSleep.js';
 import { SoakBounds } from '../shape.js';
 import { withFault, pickEndpoint, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
--- a/bench/src/soak/faults/linkFaults.ts
+++ b/bench/src/soak/faults/linkFaults.ts
@@ -1,6 +1,6 @@
 import { RelayMode } from '@laburnumstream/standins';
 import type { Relay } from '@laburnumstream/standins';
-import { interruptibleSleep } from '../pause.js';
+import { interruptibleSleep } from '../interruptibleSleep.js';
 import { withFault, pickEndpoint, pickEntry, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
 
--- a/bench/src/soak/faults/processFaults.ts
+++ b/bench/src/soak/faults/processFaults.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { getAbruptFaultName } from '../history.js';
-import { interruptibleSleep } from '../pause.js';
+import { interruptibleSleep } from '../interruptibleSleep.js';
 import type { SoakProcess } from '../process.js';
 import { withFault, pickAgent, pickEntry, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
--- a/bench/src/soak/faults/storeFaults.ts
+++ b/bench/src/soak/faults/storeFaults.ts
@@ -1,4 +1,4 @@
-import { interruptibleSleep } from '../pause.js';
+import { interruptibleSleep } from '../interruptibleSleep.js';
 import { withFault, stepIntervalMs } from './fault.js';
 import type { SoakFault, SoakFaultContext } from './fault.js';
 
--- a/bench/src/soak/soakRun.ts
+++ b/bench/src/soak/soakRun.ts
@@ -10,8 +10,8 @@
 import { SoakFleet } from './fleet.js';
 import { RequestOutcome, SoakHistory, SoakRule, getAbruptFaultName } from './history.js';
 import type { Violation } from './history.js';
-import { anySignal, interruptibleSleep } from './pause.js';
-import { StallDetector } from './stallWatch.js';
+import { anySignal, interruptibleSleep } from './interruptibleSleep.js';
+import { StallDetector } from './stallDetector.js';
 import { SoakService, getShape, soakRoutes } from './shape.js';
 
 /** Options of a soak. */
