--- a/bench/src/balancer.ts
+++ b/bench/src/balancer.ts
@@ -1,27 +1,36 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Caller } from './caller.js';
-import type { CallChoices, Seen } from './caller.js';
+import type { CallOptions, CompletionResult } from './caller.js';
 import type { FleetEntry } from './fleet.js';
 
-const checkMs = 200;
+const checkIntervalMs = 200;
 
-/** What a caller saw through the balancer. */
-export interface Outcome extends Seen {
+/** The result of a completion that was sent through the balancer. */
+export interface BalancedCompletion extends CompletionResult {
   readonly startedAt: number;
   readonly endedAt: number;
-  /** Whether the whole answer came. */
-  readonly whole: boolean;
-  /** The error's class where the connection broke. */
-  readonly broke: string;
+  /** Whether the stream ended with all requested tokens. */
+  readonly isComplete: boolean;
+  /** Error code and message when the connection broke, else empty. */
+  readonly connectionError: string;
 }
 
-function isRefused(error: unknown): boolean {
+function isConnectionRefused(error: unknown): boolean {
   return (error as { code?: string }).code === 'ECONNREFUSED';
 }
 
-const nothing: Seen = { status: 0, tokens: [], ended: false, firstTokenMs: 0, totalMs: 0 };
+const emptyCompletion: CompletionResult = {
+  status: 0,
+  tokens: [],
+  ended: false,
+  firstTokenMs: 0,
+  totalMs: 0,
+};
 
-/** A stand-in for the platform's balancer: asks entries for readiness, retries refused connections. */
+/**
+ * A stand-in for the platform's load balancer: polls the entries' readiness and retries refused
+ * connections at the next entry.
+ */
 export class Balancer {
   private readonly callers = new Map<string, Caller>();
 
@@ -36,10 +45,10 @@
     private readonly token = 'token-of-workspace-0',
   ) {}
 
-  /** Starts the checks; resolves after the first. */
+  /** Starts polling; resolves after the first readiness check. */
   async start(): Promise<this> {
-    await this.check();
-    void this.follow();
+    await this.checkReadiness();
+    void this.pollReadiness();
     return this;
   }
 
@@ -49,52 +58,62 @@
   }
 
   /** Streams a completion through the next ready entry. */
-  async complete(service: string, prompt: string, choices: CallChoices = {}): Promise<Outcome> {
+  async complete(
+    service: string,
+    prompt: string,
+    options: CallOptions = {},
+  ): Promise<BalancedCompletion> {
     const startedAt = performance.now();
-    let seen = nothing;
-    let broke = '';
-    for (let tries = 0; tries <= this.entries.length; tries += 1) {
+    let result = emptyCompletion;
+    let connectionError = '';
+    for (let attempts = 0; attempts <= this.entries.length; attempts += 1) {
       try {
-        seen = await this.pick().complete(service, prompt, choices);
-        broke = '';
+        result = await this.nextCaller().complete(service, prompt, options);
+        connectionError = '';
         break;
       } catch (error) {
-        broke = `${(error as { code?: string }).code ?? ''} ${String(error)}`;
-        if (!isRefused(error)) break;
+        connectionError = `${(error as { code?: string }).code ?? ''} ${String(error)}`;
+        if (!isConnectionRefused(error)) break;
       }
     }
-    const whole = seen.ended && seen.tokens.length === (choices.maxTokens ?? 8);
-    return { ...seen, startedAt, endedAt: performance.now(), whole, broke };
+    const isComplete = result.ended && result.tokens.length === (options.maxTokens ?? 8);
+    return {
+      ...result,
+      startedAt,
+      endedAt: performance.now(),
+      isComplete,
+      connectionError,
+    };
   }
 
-  private pick(): Caller {
+  private nextCaller(): Caller {
     const pool = this.ready.length > 0 ? this.ready : this.entries;
     const entry = pool[this.next % pool.length]!;
     this.next += 1;
-    let caller = this.callers.get(entry.callers);
+    let caller = this.callers.get(entry.callerUrl);
     if (!caller) {
-      caller = new Caller(entry.callers, this.token);
-      this.callers.set(entry.callers, caller);
+      caller = new Caller(entry.callerUrl, this.token);
+      this.callers.set(entry.callerUrl, caller);
     }
     return caller;
   }
 
-  private async follow(): Promise<void> {
+  private async pollReadiness(): Promise<void> {
     while (!this.abort.signal.aborted) {
-      await sleep(checkMs);
-      await this.check();
+      await sleep(checkIntervalMs);
+      await this.checkReadiness();
     }
   }
 
-  private async check(): Promise<void> {
-    const states = await Promise.all(
-      this.entries.map(async ({ callers }) => {
-        const signal = AbortSignal.timeout(checkMs * 2);
-        const answer = await fetch(`${callers}/ready`, { signal }).catch(() => undefined);
-        await answer?.body?.cancel();
-        return answer?.status === 200;
+  private async checkReadiness(): Promise<void> {
+    const isReady = await Promise.all(
+      this.entries.map(async ({ callerUrl }) => {
+        const signal = AbortSignal.timeout(checkIntervalMs * 2);
+        const response = await fetch(`${callerUrl}/ready`, { signal }).catch(() => undefined);
+        await response?.body?.cancel();
+        return response?.status === 200;
       }),
     );
-    this.ready = this.entries.filter((_, index) => states[index]);
+    this.ready = this.entries.filter((_, index) => isReady[index]);
   }
 }
--- a/bench/src/benches/controlCost.ts
+++ b/bench/src/benches/controlCost.ts
@@ -3,21 +3,21 @@
 import type { BenchRun, Measurement } from '../figure.js';
 import { Fleet, internalSecret } from '../fleet.js';
 import type { FleetShape } from '../fleetShape.js';
-import { bytesMoved, cpuSeconds, residentMB } from '../processUsage.js';
+import { ioBytes, cpuSeconds, residentMB } from '../processUsage.js';
 import { SimulatedMembers } from '../simulatedMembers.js';
 import type { SimulatedSize } from '../simulatedMembers.js';
 
 const secondMs = 1_000;
 const percent = 100;
 const bytesPerKB = 1_024;
-/** Time in which new fleets settle: first reads of the list, first exchanges. */
+/** Time in which a new fleet settles: first reads of the instance list, first exchanges. */
 const settleMs = 20_000;
-/** The list is read often until others are in it, then at the default pace. */
+/** The product reads the instance list often until other members are in it, then at this interval. */
 const fleetOptions = { instanceListMs: optionDefaults.instanceListMs };
-/** About one read of the platform's list. */
+/** Long enough for about one read of the platform's instance list. */
 const longWindowMs = 30_000;
 const shortWindowMs = 3_000;
-/** One restart each 10 s: 8,640 a day. */
+/** One restart every 10 s: 8,640 a day. */
 const restartPauseMs = 10_000;
 
 const places = Array.from({ length: 6 }, (_, index) => ({
@@ -26,7 +26,7 @@
 }));
 
 const shape: FleetShape = {
-  centres: [{ name: 'north-a', region: 'north', entries: 1 }],
+  dataCentres: [{ name: 'north-a', region: 'north', entries: 1 }],
   services: [{ name: 'assistant', kind: 'engine', endpoints: [1] }],
   originRegion: 'north',
 };
@@ -38,54 +38,54 @@
   target,
 };
 
-/** What one process spends for control. */
+/** Control-plane cost of one process: percent of a core, MB and KB/s. */
 interface Cost {
   readonly cpu: number;
   readonly memory: number;
   readonly network: number;
 }
 
-async function costOf(pid: number, windowMs: number): Promise<Cost> {
+async function measureCost(pid: number, windowMs: number): Promise<Cost> {
   const cpuBefore = cpuSeconds(pid);
-  const bytesBefore = bytesMoved(pid);
+  const bytesBefore = ioBytes(pid);
   const started = performance.now();
   await sleep(windowMs);
   const seconds = (performance.now() - started) / secondMs;
   return {
     cpu: ((cpuSeconds(pid) - cpuBefore) / seconds) * percent,
     memory: residentMB(pid),
-    network: (bytesMoved(pid) - bytesBefore) / seconds / bytesPerKB,
+    network: (ioBytes(pid) - bytesBefore) / seconds / bytesPerKB,
   };
 }
 
-/** Costs of one real entry and one real agent in a fleet of a size. */
+/** Measures the cost of one real entry and one real agent in a fleet of the given size. */
 async function measure(size: SimulatedSize, windowMs: number): Promise<[Cost, Cost]> {
-  const fleet = await Fleet.start(shape, { options: fleetOptions, logLevel: 'warn' });
+  const fleet = await Fleet.start(shape, { optionOverrides: fleetOptions, logLevel: 'warn' });
   const abort = new AbortController();
   const { signal } = abort;
   try {
     const others = await new SimulatedMembers(size, places, internalSecret).start(signal);
-    fleet.list.set([...fleet.list.instances, ...others.instances]);
-    const [{ name, internal, process: entry }] = fleet.entries as [(typeof fleet.entries)[0]];
+    fleet.instanceList.set([...fleet.instanceList.instances, ...others.instances]);
+    const [{ name, internalUrl, process: entry }] = fleet.entries as [(typeof fleet.entries)[0]];
     const [{ process: agent }] = fleet.agents as [(typeof fleet.agents)[0]];
-    const real = { name, region: 'north', dataCentre: 'north-a', address: internal };
-    void others.talkTo(real, restartPauseMs, signal);
+    const real = { name, region: 'north', dataCentre: 'north-a', address: internalUrl };
+    void others.sendTo(real, restartPauseMs, signal);
     await sleep(settleMs);
-    return await Promise.all([costOf(entry.pid, windowMs), costOf(agent.pid, windowMs)]);
+    return await Promise.all([measureCost(entry.pid, windowMs), measureCost(agent.pid, windowMs)]);
   } finally {
     abort.abort();
     await fleet.close();
   }
 }
 
-/** Processor, memory and bytes a second for control against the size of the fleet. */
+/** CPU, memory and network cost of the control plane by fleet size. */
 export async function controlCost({ quick }: BenchRun): Promise<readonly Measurement[]> {
   const figures: Measurement[] = [];
-  const entriesOf = Object.entries(quick ? { target } : sizes);
+  const chosenSizes = Object.entries(quick ? { target } : sizes);
   const costs = await Promise.all(
-    entriesOf.map(([, size]) => measure(size, quick ? shortWindowMs : longWindowMs)),
+    chosenSizes.map(([, size]) => measure(size, quick ? shortWindowMs : longWindowMs)),
   );
-  entriesOf.forEach(([name, size], index) => {
+  chosenSizes.forEach(([name, size], index) => {
     const [entry, agent] = costs[index]!;
     const add = (figure: string, value: number, unit: string): number =>
       figures.push({ name: `${figure}_${name}`, value, unit });
--- a/bench/src/benches/decisions.ts
+++ b/bench/src/benches/decisions.ts
@@ -17,7 +17,7 @@
 const affinities = 4_096;
 const limit = 64;
 
-function tableOf(endpoints: number): RoutingTable {
+function makeTable(endpoints: number): RoutingTable {
   const members: TableMember[] = Array.from({ length: endpoints }, (_, index) => {
     const target = makeTarget(`engine-${index}`);
     Object.assign(target, { limit, reported: index % limit });
@@ -28,27 +28,27 @@
   return new RoutingTable('entry-1', place, members);
 }
 
-function perSecond(count: number, decide: () => void): number {
+function measureRate(count: number, decide: () => void): number {
   const started = performance.now();
   for (let index = 0; index < count; index += 1) decide();
   return (count / (performance.now() - started)) * secondMs;
 }
 
-/** Rates of several operations; rounds alternate, so that a busy machine slows all alike. */
-function rates(count: number, operations: readonly (() => void)[]): number[] {
-  const seen = operations.map(() => [] as number[]);
+/** Median rates of several operations; rounds alternate, so that a busy machine slows all alike. */
+function measureRates(count: number, operations: readonly (() => void)[]): number[] {
+  const samplesByOperation = operations.map(() => [] as number[]);
   for (let round = 0; round <= rounds; round += 1) {
     operations.forEach((operation, index) => {
-      const rate = perSecond(count, operation);
-      if (round > 0) seen[index]!.push(rate);
+      const rate = measureRate(count, operation);
+      if (round > 0) samplesByOperation[index]!.push(rate);
     });
   }
-  return seen.map((samples) => percentile(samples, 0.5));
+  return samplesByOperation.map((samples) => percentile(samples, 0.5));
 }
 
-/** A routing decision as in an entry: hash of the prefix, choice, own accounting. */
+/** A routing decision as in an entry: prefix hash, choice, load accounting. */
 function routing(endpoints: number, seed: number): () => void {
-  const table = tableOf(endpoints);
+  const table = makeTable(endpoints);
   const random = new SeededRandom(seed);
   const prefixes = Array.from({ length: affinities }, (_, index) => `workspace\n${index}`);
   let next = 0;
@@ -60,7 +60,7 @@
   };
 }
 
-/** An admission decision through the fair queue: push, take, start, finish. */
+/** An admission decision through the fair queue: push, shift, start, finish. */
 function admission(workspaces: number): () => void {
   const bounds = new AdmissionLimit({ coldLimit: limit, maxLimit: limit });
   const queue = new FairQueue(() => 1);
@@ -86,14 +86,14 @@
   };
 }
 
-/** Decisions a second of routing, admission and retries, and how routing grows with the fleet. */
+/** Routing, admission and retry decisions per second, and how routing cost grows with the fleet. */
 export async function decisions({ seed, quick }: BenchRun): Promise<readonly Measurement[]> {
   const count = quick ? 50_000 : 300_000;
-  const [few, some, many] = rates(
+  const [few, some, many] = measureRates(
     count,
     sizes.map((size) => routing(size, seed)),
   );
-  const [admitted, retried] = rates(count, [admission(10), retries()]);
+  const [admitted, retried] = measureRates(count, [admission(10), retries()]);
   const unit = 'per_second';
   return [
     { name: 'routing_per_second_10', value: few!, unit },
--- a/bench/src/benches/overload.ts
+++ b/bench/src/benches/overload.ts
@@ -1,35 +1,39 @@
 import type { Fleet } from '../fleet.js';
 import type { BenchRun, Measurement } from '../figure.js';
-import { loadCapacity, offerFor, startLoadFleet } from '../loadFleet.js';
-import type { TimedSeen } from '../loadFleet.js';
+import { loadCapacity, offerLoads, startLoadFleet } from '../loadFleet.js';
+import type { TimedCompletion } from '../loadFleet.js';
 import { percentile } from '../percentile.js';
 
 const factors = [1, 2, 5, 10] as const;
 
-/** What one level of load brought. */
-interface Level {
+/** Results at one load level. */
+interface LoadLevel {
   readonly goodput: number;
   readonly refusals: readonly number[];
   readonly broken: number;
 }
 
-async function offer(fleet: Fleet, factor: number, seconds: number): Promise<Level> {
-  const each = (loadCapacity * factor) / 2;
-  const seen = await offerFor(fleet, { 'workspace-1': each, 'workspace-2': each }, seconds);
-  const all: TimedSeen[] = Object.values(seen).flat();
+async function measureLevel(fleet: Fleet, factor: number, seconds: number): Promise<LoadLevel> {
+  const perWorkspace = (loadCapacity * factor) / 2;
+  const byWorkspace = await offerLoads(
+    fleet,
+    { 'workspace-1': perWorkspace, 'workspace-2': perWorkspace },
+    seconds,
+  );
+  const all: TimedCompletion[] = Object.values(byWorkspace).flat();
   const refusals = all.filter(({ error }) => error).map(({ totalMs }) => totalMs);
   const answered = all.filter(({ ended }) => ended).length;
   const broken = all.filter(({ status }) => status === 0).length;
   return { goodput: answered / seconds, refusals, broken };
 }
 
-/** Useful answers and the latency of refusals at 1, 2, 5 and 10 times the capacity. */
+/** Goodput and refusal latency at 1, 2, 5 and 10 times the capacity. */
 export async function overload({ quick }: BenchRun): Promise<readonly Measurement[]> {
   const seconds = quick ? 2 : 10;
   const fleet = await startLoadFleet();
   try {
-    const levels: Level[] = [];
-    for (const factor of factors) levels.push(await offer(fleet, factor, seconds));
+    const levels: LoadLevel[] = [];
+    for (const factor of factors) levels.push(await measureLevel(fleet, factor, seconds));
     const [atCapacity, , , atTen] = levels;
     const goodputs = factors.map((factor, index) => ({
       name: `goodput_at_${factor}x`,
--- a/bench/src/benches/path.ts
+++ b/bench/src/benches/path.ts
@@ -3,8 +3,8 @@
 import { Caller } from '../caller.js';
 import type { BenchRun, Measurement } from '../figure.js';
 import { Fleet } from '../fleet.js';
-import { small } from '../fleetShape.js';
-import { openLoad } from '../openLoad.js';
+import { smallFleet } from '../fleetShape.js';
+import { runOpenLoad } from '../openLoad.js';
 import { percentile } from '../percentile.js';
 import { cpuSeconds, residentMB } from '../processUsage.js';
 
@@ -14,7 +14,7 @@
 const secondMs = 1_000;
 const warmUpRequests = 1_000;
 
-async function direct(engine: HttpModelEngine, index: number): Promise<number> {
+async function measureDirect(engine: HttpModelEngine, index: number): Promise<number> {
   const started = performance.now();
   const generation = {
     id: `direct-${index}`,
@@ -27,36 +27,36 @@
   return performance.now() - started;
 }
 
-async function idleCpu(pid: number): Promise<number> {
+async function measureIdleCpu(pid: number): Promise<number> {
   const before = cpuSeconds(pid);
   const started = performance.now();
   await sleep(idleMs);
   return ((cpuSeconds(pid) - before) / ((performance.now() - started) / secondMs)) * percent;
 }
 
-/** Latency that entry and agent add over calling the endpoint, and what they cost when idle. */
+/** Latency that entry and agent add over a direct call of the endpoint, and their idle cost. */
 export async function path({ quick }: BenchRun): Promise<readonly Measurement[]> {
   const requests = quick ? 1_000 : 4_000;
   const engine = { capacity: 256, coldCapacity: 256 };
-  const fleet = await Fleet.start(small, { engine, logLevel: 'warn' });
+  const fleet = await Fleet.start(smallFleet, { engine, logLevel: 'warn' });
   try {
     const [entry] = fleet.entries;
     const [agent] = fleet.agents;
-    const caller = new Caller(entry!.callers);
+    const caller = new Caller(entry!.callerUrl);
     const target = new HttpModelEngine(agent!.engine!.address, secondMs);
-    const through = async (index: number) =>
+    const measureRouted = async (index: number) =>
       (await caller.complete('assistant', `p${index}`, { maxTokens: 1 })).totalMs;
-    await openLoad(perSecond, warmUpRequests, through);
-    await openLoad(perSecond, warmUpRequests, (index) => direct(target, index));
-    const plain = await openLoad(perSecond, requests, (index) => direct(target, index));
-    const routed = await openLoad(perSecond, requests, through);
+    await runOpenLoad(perSecond, warmUpRequests, measureRouted);
+    await runOpenLoad(perSecond, warmUpRequests, (index) => measureDirect(target, index));
+    const direct = await runOpenLoad(perSecond, requests, (index) => measureDirect(target, index));
+    const routed = await runOpenLoad(perSecond, requests, measureRouted);
     await caller.close();
     await sleep(secondMs);
     const [entryCpu, agentCpu] = await Promise.all([
-      idleCpu(entry!.process.pid),
-      idleCpu(agent!.process.pid),
+      measureIdleCpu(entry!.process.pid),
+      measureIdleCpu(agent!.process.pid),
     ]);
-    const added = (share: number) => percentile(routed, share) - percentile(plain, share);
+    const added = (share: number) => percentile(routed, share) - percentile(direct, share);
     return [
       { name: 'added_latency_p50', value: added(0.5) },
       { name: 'added_latency_p99', value: added(0.99) },
--- a/bench/src/benches/slopes.ts
+++ b/bench/src/benches/slopes.ts
@@ -2,10 +2,10 @@
 import { Caller } from '../caller.js';
 import type { BenchRun, Measurement } from '../figure.js';
 import { Fleet } from '../fleet.js';
-import { small } from '../fleetShape.js';
+import { smallFleet } from '../fleetShape.js';
 import { fitLine } from '../linearFit.js';
 import type { Point } from '../linearFit.js';
-import { openLoad } from '../openLoad.js';
+import { runOpenLoad } from '../openLoad.js';
 import { cpuSeconds, residentMB } from '../processUsage.js';
 import { target } from '../target.js';
 
@@ -17,21 +17,21 @@
 const tokenCounts = [32, 96, 192] as const;
 const streamCounts = [40, 80, 160] as const;
 const tokenRate = 20;
-/** Time between tokens in the token series; without it, frames would carry many tokens. */
+/** Time between tokens in the token series; at 0, frames would carry many tokens each. */
 const pacedTokenMs = 5;
-const shortAnswer = 1;
+const singleToken = 1;
 const streamTokens = 400;
 const streamTokenMs = 20;
 const windowSeconds = 8;
 const quickWindowSeconds = 3;
 
-/** Processor time of the entry and of all engines' agents, in seconds. */
+/** CPU time of the entry and of all engine agents, in seconds. */
 interface Usage {
   readonly entry: number;
   readonly agents: number;
 }
 
-/** Measures one entry and its agents under chosen loads. */
+/** Measures one entry and its agents under given loads. */
 class SlopeRun {
   private readonly caller: Caller;
 
@@ -41,24 +41,24 @@
     private readonly fleet: Fleet,
     private readonly seconds: number,
   ) {
-    this.caller = new Caller(fleet.entries[0]!.callers);
+    this.caller = new Caller(fleet.entries[0]!.callerUrl);
   }
 
-  /** Processor time per second of entry and agents at a rate of answers of `maxTokens`. */
-  async at(perSecond: number, maxTokens: number): Promise<Usage> {
-    const before = this.usage();
+  /** CPU seconds per second of entry and agents at a request rate with `maxTokens` each. */
+  async measureRate(perSecond: number, maxTokens: number): Promise<Usage> {
+    const before = this.readUsage();
     const started = performance.now();
-    await openLoad(perSecond, perSecond * this.seconds, () => this.complete(maxTokens));
+    await runOpenLoad(perSecond, perSecond * this.seconds, () => this.complete(maxTokens));
     const elapsed = (performance.now() - started) / secondMs;
-    const after = this.usage();
+    const after = this.readUsage();
     return {
       entry: (after.entry - before.entry) / elapsed,
       agents: (after.agents - before.agents) / elapsed,
     };
   }
 
-  /** Memory of the entry while `count` answers stream, in MB. */
-  async memoryWith(count: number): Promise<number> {
+  /** Memory of the entry in MB while `count` responses stream. */
+  async measureMemory(count: number): Promise<number> {
     const streams = Array.from({ length: count }, () => this.complete(streamTokens));
     await sleep((streamTokens * streamTokenMs) / 2);
     const memory = residentMB(this.fleet.entries[0]!.process.pid);
@@ -75,7 +75,7 @@
     return this.caller.complete('assistant', `slope ${this.requests}`, { maxTokens });
   }
 
-  private usage(): Usage {
+  private readUsage(): Usage {
     const engines = this.fleet.agents.filter(({ engine }) => engine);
     const agents = engines.map(({ process }) => cpuSeconds(process.pid));
     return {
@@ -85,7 +85,7 @@
   }
 }
 
-async function series(
+async function measureSeries(
   sizes: readonly number[],
   measure: (size: number) => Promise<Usage>,
 ): Promise<{ entry: Point[]; agents: Point[] }> {
@@ -107,12 +107,12 @@
   seconds: number,
   measure: (run: SlopeRun) => Promise<Result>,
 ): Promise<Result> {
-  const fleet = await Fleet.start(small, { engine: { ...engine, tokenMs }, logLevel: 'warn' });
+  const fleet = await Fleet.start(smallFleet, { engine: { ...engine, tokenMs }, logLevel: 'warn' });
   try {
     await fleet.admin('POST', 'configuration', { reason: 'bench', defaults: policy });
     await sleep(secondMs);
     const run = new SlopeRun(fleet, seconds);
-    await run.at(requestRates[2], shortAnswer);
+    await run.measureRate(requestRates[2], singleToken);
     const result = await measure(run);
     await run.close();
     return result;
@@ -121,18 +121,18 @@
   }
 }
 
-/** What a request, a token and an open stream cost an entry and an agent, and that at the target. */
+/** Cost of a request, a token and an open stream in entry and agent, extrapolated to the target. */
 export async function slopes({ quick }: BenchRun): Promise<readonly Measurement[]> {
   const seconds = quick ? quickWindowSeconds : windowSeconds;
   const requests = await withFleet(0, seconds, (run) =>
-    series(requestRates, (rate) => run.at(rate, shortAnswer)),
+    measureSeries(requestRates, (rate) => run.measureRate(rate, singleToken)),
   );
   const tokens = await withFleet(pacedTokenMs, seconds, (run) =>
-    series(tokenCounts, (count) => run.at(tokenRate, count)),
+    measureSeries(tokenCounts, (count) => run.measureRate(tokenRate, count)),
   );
   const memory = await withFleet(streamTokenMs, seconds, async (run) => {
     const points: Point[] = [];
-    for (const x of streamCounts) points.push({ x, y: await run.memoryWith(x) });
+    for (const x of streamCounts) points.push({ x, y: await run.measureMemory(x) });
     return points;
   });
   const perRequest = fitLine(requests.entry).slope;
--- a/bench/src/benches/spreadReal.ts
+++ b/bench/src/benches/spreadReal.ts
@@ -4,15 +4,15 @@
 import type { FleetShape } from '../fleetShape.js';
 import type { ManagedProcess } from '../managedProcess.js';
 import { percentile } from '../percentile.js';
-import { revertsOf } from '../virtual/reverts.js';
+import { countReverts } from '../virtual/reverts.js';
 
 const secondMs = 1_000;
 const settleMs = 5_000;
-const spacingMs = 2_500;
+const changeIntervalMs = 2_500;
 const idleMs = 12_000;
-const mostShare = 0.99;
+const quantile = 0.99;
 const readyTimeoutMs = 180_000;
-/** Patience with a stand-in of the store on a busy machine. */
+/** Long timeouts: the store's stand-in may be slow on a busy machine. */
 const options = { platformTimeoutMs: 10_000, changeTimeoutMs: 30_000 };
 
 interface LogLine {
@@ -21,7 +21,7 @@
   readonly timestamp?: string;
 }
 
-/** What one size of fleet showed. */
+/** Results of one fleet size. */
 interface SizeResult {
   readonly p99Ms: number;
   readonly storeCallsPerSecond: number;
@@ -29,11 +29,11 @@
 }
 
 /** Half of the processes are entries, half agents of plain services, over two data centres. */
-function shapeOf(processes: number): FleetShape {
+function makeShape(processes: number): FleetShape {
   const half = processes / 2;
   const [first, second] = [Math.ceil(half / 2), Math.floor(half / 2)];
   return {
-    centres: [
+    dataCentres: [
       { name: 'north-a', region: 'north', entries: first },
       { name: 'south-a', region: 'south', entries: second },
     ],
@@ -42,8 +42,8 @@
   };
 }
 
-/** The revisions that a process logged as in force, with their times. */
-function inForceOf({ log }: ManagedProcess): { revision: number; atMs: number }[] {
+/** Parses the revisions that a process logged as in force, with their times. */
+function parseAppliedRevisions({ log }: ManagedProcess): { revision: number; atMs: number }[] {
   return log
     .split('\n')
     .filter((line) => line.includes('Configuration in force.'))
@@ -51,43 +51,46 @@
     .map(({ revision = 0, timestamp = '' }) => ({ revision, atMs: Date.parse(timestamp) }));
 }
 
-function callsOf({ keyValue }: Fleet): number {
+function countStoreCalls({ keyValue }: Fleet): number {
   const { reads, writes, watches } = keyValue.calls;
   return reads + writes + watches;
 }
 
 async function measure(processes: number, changes: number): Promise<SizeResult> {
-  const fleet = await Fleet.start(shapeOf(processes), { readyTimeoutMs, options });
+  const fleet = await Fleet.start(makeShape(processes), {
+    readyTimeoutMs,
+    optionOverrides: options,
+  });
   try {
     await sleep(settleMs);
     const running = [...fleet.entries, ...fleet.agents].map(({ process }) => process);
-    const made: { revision: number; startedMs: number }[] = [];
+    const changesMade: { revision: number; startedMs: number }[] = [];
     for (let index = 0; index < changes; index += 1) {
       const entry = fleet.entries[index % fleet.entries.length]!;
       const startedMs = Date.now();
       const parts = { reason: 'bench', defaults: { maxQueue: index + 10 } };
       const { body } = await fleet.admin('POST', 'configuration', parts, entry);
-      made.push({ revision: Number(body.revision), startedMs });
-      await sleep(spacingMs);
+      changesMade.push({ revision: Number(body.revision), startedMs });
+      await sleep(changeIntervalMs);
     }
-    const before = callsOf(fleet);
+    const before = countStoreCalls(fleet);
     await sleep(idleMs);
-    const storeCallsPerSecond = (callsOf(fleet) - before) / (idleMs / secondMs);
-    const histories = running.map((process) => inForceOf(process));
-    const delays = made.flatMap(({ revision, startedMs }) =>
+    const storeCallsPerSecond = (countStoreCalls(fleet) - before) / (idleMs / secondMs);
+    const histories = running.map((process) => parseAppliedRevisions(process));
+    const delays = changesMade.flatMap(({ revision, startedMs }) =>
       histories.map((history) => {
-        const first = history.find((inForce) => inForce.revision >= revision);
+        const first = history.find((applied) => applied.revision >= revision);
         return first ? first.atMs - startedMs : Infinity;
       }),
     );
-    const reverts = histories.reduce((sum, history) => sum + revertsOf(history), 0);
-    return { p99Ms: percentile(delays, mostShare), storeCallsPerSecond, reverts };
+    const reverts = histories.reduce((sum, history) => sum + countReverts(history), 0);
+    return { p99Ms: percentile(delays, quantile), storeCallsPerSecond, reverts };
   } finally {
     await fleet.close();
   }
 }
 
-/** The spread over 10, 50 and 100 real processes; 10 only when quick. */
+/** Configuration spread over 10, 50 and 100 real processes; over 10 only when quick. */
 export async function spreadReal({ quick }: BenchRun): Promise<readonly Measurement[]> {
   const results = new Map<number, SizeResult>();
   const changes = quick ? 2 : 4;
@@ -97,9 +100,9 @@
     { name: `store_calls_${size}_processes`, value: storeCallsPerSecond, unit: 'per_second' },
   ]);
   const reverts = [...results.values()].reduce((sum, result) => sum + result.reverts, 0);
-  const [fewest, most] = [results.get(10), results.get(100)];
-  if (!fewest || !most) return [...bySize, { name: 'reverts', value: reverts }];
-  const growth = most.storeCallsPerSecond / fewest.storeCallsPerSecond;
+  const [smallest, largest] = [results.get(10), results.get(100)];
+  if (!smallest || !largest) return [...bySize, { name: 'reverts', value: reverts }];
+  const growth = largest.storeCallsPerSecond / smallest.storeCallsPerSecond;
   return [
     ...bySize,
     { name: 'store_calls_growth_10_to_100', value: growth },
--- a/bench/src/benches/takeOut.ts
+++ b/bench/src/benches/takeOut.ts
@@ -1,10 +1,10 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Balancer } from '../balancer.js';
-import type { Outcome } from '../balancer.js';
+import type { BalancedCompletion } from '../balancer.js';
 import type { BenchRun, Measurement } from '../figure.js';
 import { reportFailures } from '../failureReport.js';
 import { Fleet } from '../fleet.js';
-import { noorani } from '../fleetShape.js';
+import { nooraniFleet } from '../fleetShape.js';
 import { percentile } from '../percentile.js';
 import { SteadyLoad } from '../steadyLoad.js';
 import { warmUp } from '../warmUp.js';
@@ -12,53 +12,53 @@
 const perSecond = 40;
 const maxTokens = 20;
 const service = 'appraise-model';
-const leaving = 'punjab-a';
+const takenOutDataCentre = 'punjab-a';
 const secondMs = 1_000;
 const engine = { prefillMs: 30, tokenMs: 10 };
-const high = 0.95;
-/** Time at full rate before the measurement, in milliseconds. */
+const tailQuantile = 0.95;
+/** Time at full rate before the measurement starts. */
 const settleMs = 3_000;
 
-/** Lengths of the parts of a run, in milliseconds. */
-interface Parts {
+/** Lengths of the phases before, during and after the take-out, in milliseconds. */
+interface PhaseLengths {
   readonly before: number;
   readonly during: number;
   readonly after: number;
 }
 
-const whole: Parts = { before: 10_000, during: 10_000, after: 20_000 };
-const short: Parts = { before: 3_000, during: 3_000, after: 3_000 };
+const fullLengths: PhaseLengths = { before: 10_000, during: 10_000, after: 20_000 };
+const quickLengths: PhaseLengths = { before: 3_000, during: 3_000, after: 3_000 };
 
 const refusedStatuses: readonly number[] = [429, 503];
 
-function isRefused({ status }: Outcome): boolean {
+function isRefused({ status }: BalancedCompletion): boolean {
   return refusedStatuses.includes(status);
 }
 
-function isFailed(outcome: Outcome): boolean {
-  return !outcome.whole && !isRefused(outcome);
+function isFailed(outcome: BalancedCompletion): boolean {
+  return !outcome.isComplete && !isRefused(outcome);
 }
 
-/** Wall-clock time of the last run that began in the data centre before a time. */
-function lastWork(fleet: Fleet, before: number): number {
+/** Wall-clock time of the last run that started in the data centre up to a time. */
+function lastRunStart(fleet: Fleet, before: number): number {
   const runs = fleet.agents
-    .filter(({ centre }) => centre.name === leaving)
+    .filter(({ dataCentre }) => dataCentre.name === takenOutDataCentre)
     .flatMap((agent) => agent.engine?.runs ?? []);
   const times = runs.map(({ startedAt }) => startedAt).filter((at) => at <= before);
   return Math.max(0, ...times);
 }
 
-function firstToken(outcomes: readonly Outcome[], from: number, to: number): number {
-  const part = outcomes.filter(({ startedAt }) => startedAt >= from && startedAt < to);
-  const served = part.filter((outcome) => outcome.whole);
+function firstTokenTail(outcomes: readonly BalancedCompletion[], from: number, to: number): number {
+  const inPhase = outcomes.filter(({ startedAt }) => startedAt >= from && startedAt < to);
+  const served = inPhase.filter((outcome) => outcome.isComplete);
   return percentile(
     served.map(({ firstTokenMs }) => firstTokenMs),
-    high,
+    tailQuantile,
   );
 }
 
-/** Moments of a run on the monotonic clock, and of the take-out and return on the wall clock. */
-interface Moments {
+/** Start times of the phases and the end, on the monotonic clock; two also on the wall clock. */
+interface PhaseTimes {
   readonly before: number;
   readonly out: number;
   readonly back: number;
@@ -67,63 +67,67 @@
   readonly backWall: number;
 }
 
-async function play(fleet: Fleet, parts: Parts): Promise<Moments> {
+async function runPhases(fleet: Fleet, lengths: PhaseLengths): Promise<PhaseTimes> {
   await sleep(settleMs);
   const before = performance.now();
-  await sleep(parts.before);
+  await sleep(lengths.before);
   const out = performance.now();
   const outWall = Date.now();
-  await fleet.admin('POST', `data-centres/${leaving}/take-out`, { reason: 'bench' });
-  await sleep(parts.during);
-  // Nothing kept its caches warm meanwhile.
+  await fleet.admin('POST', `data-centres/${takenOutDataCentre}/take-out`, { reason: 'bench' });
+  await sleep(lengths.during);
+  // Models caches that went cold without traffic.
   fleet.agents
-    .filter(({ centre }) => centre.name === leaving)
+    .filter(({ dataCentre }) => dataCentre.name === takenOutDataCentre)
     .forEach((agent) => agent.engine?.turnCold());
   const back = performance.now();
   const backWall = Date.now();
-  await fleet.admin('POST', `data-centres/${leaving}/return`, { reason: 'bench' });
-  await sleep(parts.after);
+  await fleet.admin('POST', `data-centres/${takenOutDataCentre}/return`, { reason: 'bench' });
+  await sleep(lengths.after);
   return { before, out, back, end: performance.now(), outWall, backWall };
 }
 
-function measure(fleet: Fleet, outcomes: readonly Outcome[], moments: Moments): Measurement[] {
-  const { before, out, back, end, outWall, backWall } = moments;
-  const quiet = firstToken(outcomes, before, out);
-  const during = firstToken(outcomes, out, back);
-  const after = firstToken(outcomes, back, end);
+function measure(
+  fleet: Fleet,
+  outcomes: readonly BalancedCompletion[],
+  times: PhaseTimes,
+): Measurement[] {
+  const { before, out, back, end, outWall, backWall } = times;
+  const beforeTail = firstTokenTail(outcomes, before, out);
+  const during = firstTokenTail(outcomes, out, back);
+  const after = firstTokenTail(outcomes, back, end);
   const counted = outcomes.filter(({ startedAt }) => startedAt >= before);
-  const last = Math.max(0, lastWork(fleet, backWall) - outWall) / secondMs;
-  reportFailures(counted.filter((outcome) => !outcome.whole));
+  const last = Math.max(0, lastRunStart(fleet, backWall) - outWall) / secondMs;
+  reportFailures(counted.filter((outcome) => !outcome.isComplete));
   return [
     { name: 'last_new_work', value: last },
     { name: 'failed_requests', value: counted.filter(isFailed).length },
     { name: 'refused_requests', value: counted.filter(isRefused).length, unit: 'count' },
     { name: 'requests', value: counted.length, unit: 'count' },
-    { name: 'first_token_p95_during_over_before', value: during / quiet },
-    { name: 'first_token_p95_after_over_before', value: after / quiet, unit: 'ratio' },
-    { name: 'first_token_p95_before', value: quiet, unit: 'ms' },
-    { name: 'cold_endpoints_crashed', value: crashes(fleet), unit: 'count' },
+    { name: 'first_token_p95_during_over_before', value: during / beforeTail },
+    { name: 'first_token_p95_after_over_before', value: after / beforeTail, unit: 'ratio' },
+    { name: 'first_token_p95_before', value: beforeTail, unit: 'ms' },
+    { name: 'cold_endpoints_crashed', value: countCrashes(fleet), unit: 'count' },
   ];
 }
 
-function crashes(fleet: Fleet): number {
+function countCrashes(fleet: Fleet): number {
   return fleet.agents.reduce((sum, { engine: each }) => sum + (each?.crashes ?? 0), 0);
 }
 
-/** Service quality while a data centre is taken out and returned under load. */
+/** Service quality while a data centre is taken out and returned to service under load. */
 export async function takeOut({ quick }: BenchRun): Promise<readonly Measurement[]> {
-  const fleet = await Fleet.start(noorani, { engine, logLevel: 'warn' });
+  const fleet = await Fleet.start(nooraniFleet, { engine, logLevel: 'warn' });
   const balancer = await new Balancer(fleet.entries).start();
   try {
-    const parts = quick ? short : whole;
-    const request = (index: number): Promise<Outcome> =>
+    const lengths = quick ? quickLengths : fullLengths;
+    const request = (index: number): Promise<BalancedCompletion> =>
       balancer.complete(service, `piece ${index}`, { maxTokens });
     await warmUp(fleet, balancer, service);
     const load = new SteadyLoad(perSecond, request);
-    const moments = await play(fleet, parts);
+    const times = await runPhases(fleet, lengths);
     const outcomes = await load.stop();
-    fleet.reportDead();
-    return measure(fleet, outcomes, moments);
+    fleet.printExitedLogs();
+    return measure(fleet, outcomes, times);
   } finally {
     await balancer.stop();
     await fleet.close();
--- a/bench/src/bounds.ts
+++ b/bench/src/bounds.ts
@@ -1,7 +1,7 @@
 /** How a figure compares with its bound. */
 export type Operator = '<=' | '>=';
 
-/** The bound that a bench holds a figure to. */
+/** The bound that a bench checks a figure against. */
 export interface Bound {
   readonly bench: string;
   readonly figure: string;
@@ -10,7 +10,7 @@
   readonly value: number;
 }
 
-/** Stated targets of all benches. */
+/** Bounds of all benches, from the stated targets. */
 export const bounds: readonly Bound[] = [
   { bench: 'path', figure: 'added_latency_p50', unit: 'ms', operator: '<=', value: 1 },
   { bench: 'path', figure: 'added_latency_p99', unit: 'ms', operator: '<=', value: 3 },
--- a/bench/src/caller.ts
+++ b/bench/src/caller.ts
@@ -1,14 +1,14 @@
 import { Failure } from '@laburnumstream/common';
 import { Pool } from 'undici';
 
-/** One event of a streamed answer. */
+/** A server-sent event of a streamed response. */
 export interface ServerEvent {
   readonly event: string;
   readonly data: Record<string, unknown>;
 }
 
-/** What a caller saw of one request. */
-export interface Seen {
+/** The result of one completion, as its caller received it. */
+export interface CompletionResult {
   readonly status: number;
   readonly tokens: readonly string[];
   readonly ended: boolean;
@@ -17,12 +17,12 @@
   readonly totalMs: number;
 }
 
-/** Splits a stream of server-sent events. */
-export async function* serverEvents(body: AsyncIterable<Buffer>): AsyncGenerator<ServerEvent> {
-  let rest = '';
+/** Parses a stream of server-sent events. */
+export async function* parseServerEvents(body: AsyncIterable<Buffer>): AsyncGenerator<ServerEvent> {
+  let remainder = '';
   for await (const bytes of body) {
-    const blocks = (rest + bytes.toString()).split('\n\n');
-    rest = blocks.pop() ?? '';
+    const blocks = (remainder + bytes.toString()).split('\n\n');
+    remainder = blocks.pop() ?? '';
     for (const block of blocks) {
       const [first = '', second = ''] = block.split('\n');
       const data = JSON.parse(second.slice('data: '.length)) as Record<string, unknown>;
@@ -31,14 +31,14 @@
   }
 }
 
-/** Choices for one request of a caller. */
-export interface CallChoices {
+/** Options of one request. */
+export interface CallOptions {
   readonly maxTokens?: number;
   readonly headers?: Readonly<Record<string, string>>;
   readonly signal?: AbortSignal;
 }
 
-/** A caller in one workspace that talks to one entry. */
+/** An API client of one workspace, connected to one entry. */
 export class Caller {
   private readonly pool: Pool;
 
@@ -50,15 +50,19 @@
     this.pool = new Pool(address, { connections });
   }
 
-  /** Streams a completion and collects what came. */
-  async complete(service: string, prompt: string, choices: CallChoices = {}): Promise<Seen> {
+  /** Streams a completion and collects its events. */
+  async complete(
+    service: string,
+    prompt: string,
+    options: CallOptions = {},
+  ): Promise<CompletionResult> {
     const started = performance.now();
     const { statusCode, body } = await this.pool.request({
       method: 'POST',
       path: `/v1/services/${service}/completions`,
-      headers: this.headers(choices),
-      body: JSON.stringify({ prompt, max_tokens: choices.maxTokens ?? 8, stream: true }),
-      signal: choices.signal ?? null,
+      headers: this.headers(options),
+      body: JSON.stringify({ prompt, max_tokens: options.maxTokens ?? 8, stream: true }),
+      signal: options.signal ?? null,
     });
     if (statusCode !== 200) {
       const { error } = (await body.json()) as { error: Record<string, unknown> };
@@ -73,20 +77,23 @@
     service: string,
     path: string,
     body: string,
-    choices: CallChoices & { readonly method?: 'GET' | 'POST' } = {},
+    options: CallOptions & { readonly method?: 'GET' | 'POST' } = {},
   ): Promise<{ status: number; body: Record<string, unknown> }> {
     const response = await this.pool.request({
-      method: choices.method ?? 'POST',
+      method: options.method ?? 'POST',
       path: `/v1/services/${service}/calls${path}`,
-      headers: this.headers(choices),
-      ...(choices.method === 'GET' ? {} : { body }),
-      signal: choices.signal ?? null,
+      headers: this.headers(options),
+      ...(options.method === 'GET' ? {} : { body }),
+      signal: options.signal ?? null,
     });
     const text = await response.body.text();
     try {
       return { status: response.statusCode, body: JSON.parse(text) as Record<string, unknown> };
     } catch {
-      throw new Failure('not_json', `The entry answered ${response.statusCode}: ${text}`);
+      throw new Failure(
+        'not_json',
+        `The entry responded with ${response.statusCode} and no JSON: ${text}`,
+      );
     }
   }
 
@@ -94,16 +101,16 @@
     return this.pool.destroy();
   }
 
-  private headers(choices: CallChoices): Record<string, string> {
-    return { authorization: `Bearer ${this.token}`, ...choices.headers };
+  private headers(options: CallOptions): Record<string, string> {
+    return { authorization: `Bearer ${this.token}`, ...options.headers };
   }
 
-  private async collect(started: number, body: AsyncIterable<Buffer>): Promise<Seen> {
+  private async collect(started: number, body: AsyncIterable<Buffer>): Promise<CompletionResult> {
     const tokens: string[] = [];
     let firstTokenMs = 0;
     let ended = false;
     let error: Record<string, unknown> | undefined;
-    for await (const { event, data } of serverEvents(body)) {
+    for await (const { event, data } of parseServerEvents(body)) {
       if (event === 'tokens') {
         if (tokens.length === 0) firstTokenMs = performance.now() - started;
         tokens.push(...(data.texts as string[]));
--- a/bench/src/failureReport.ts
+++ b/bench/src/failureReport.ts
@@ -1,10 +1,10 @@
-import type { Outcome } from './balancer.js';
+import type { BalancedCompletion } from './balancer.js';
 
-/** Prints how often each kind of failure came, one line a kind. */
-export function reportFailures(outcomes: readonly Outcome[]): void {
+/** Prints the number of failures of each kind, one line per kind. */
+export function reportFailures(outcomes: readonly BalancedCompletion[]): void {
   const counts = new Map<string, number>();
-  outcomes.forEach(({ status, broke, error }) => {
-    const kind = `${status} ${broke} ${String(error?.type ?? '')} ${String(error?.message ?? '')}`;
+  outcomes.forEach(({ status, connectionError, error }) => {
+    const kind = `${status} ${connectionError} ${String(error?.type ?? '')} ${String(error?.message ?? '')}`;
     counts.set(kind, (counts.get(kind) ?? 0) + 1);
   });
   counts.forEach((count, kind) => process.stderr.write(`failed ${count} times: ${kind}\n`));
--- a/bench/src/faults/faultActions.ts
+++ b/bench/src/faults/faultActions.ts
@@ -5,21 +5,21 @@
 import type { Fleet, FleetAgent } from '../fleet.js';
 import type { FaultHistory } from './faultHistory.js';
 
-/** What a fault works on. */
+/** The fleet and parameters of a fault. */
 export interface FaultContext {
   readonly fleet: Fleet;
   readonly random: Random;
   readonly history: FaultHistory;
   /** Length of the fault, in milliseconds. */
-  readonly lastsMs: number;
+  readonly durationMs: number;
 }
 
-/** Causes one failure and heals it. */
+/** Injects a fault and removes it after its duration. */
 export type FaultAction = (context: FaultContext) => Promise<void>;
 
 const model = 'assistant-model';
-/** Time in which operators' decisions reach every process, in milliseconds. */
-const graceMs = 3_000;
+/** Time within which an operator's change reaches every process. */
+const propagationMs = 3_000;
 
 function pick<Item>(items: readonly Item[], random: Random): Item {
   return items[Math.floor(random.next() * items.length)]!;
@@ -32,63 +32,63 @@
   );
 }
 
-async function killAgent({ fleet, random, lastsMs }: FaultContext): Promise<void> {
+async function killAgent({ fleet, random, durationMs }: FaultContext): Promise<void> {
   const { process } = pick(fleet.agents, random);
   await process.kill();
-  await sleep(lastsMs / 2);
+  await sleep(durationMs / 2);
   process.start();
 }
 
-async function killEntry({ fleet, random, lastsMs }: FaultContext): Promise<void> {
+async function killEntry({ fleet, random, durationMs }: FaultContext): Promise<void> {
   const { process } = pick(fleet.entries, random);
   await process.kill();
-  await sleep(lastsMs / 2);
+  await sleep(durationMs / 2);
   process.start();
 }
 
-async function freezeAgent({ fleet, random, lastsMs }: FaultContext): Promise<void> {
+async function freezeAgent({ fleet, random, durationMs }: FaultContext): Promise<void> {
   const { process } = pick(fleet.agents, random);
   process.signal('SIGSTOP');
-  await sleep(lastsMs);
+  await sleep(durationMs);
   process.signal('SIGCONT');
 }
 
-async function storeDown({ fleet, lastsMs }: FaultContext): Promise<void> {
+async function storeDown({ fleet, durationMs }: FaultContext): Promise<void> {
   Object.assign(fleet.keyValue.faults, { down: true });
-  await sleep(lastsMs);
+  await sleep(durationMs);
   Object.assign(fleet.keyValue.faults, { down: false });
 }
 
-async function storeLosesAnswers({ fleet, lastsMs }: FaultContext): Promise<void> {
+async function storeLosesAnswers({ fleet, durationMs }: FaultContext): Promise<void> {
   Object.assign(fleet.keyValue.faults, { loseAnswers: 0.3 });
-  await sleep(lastsMs);
+  await sleep(durationMs);
   Object.assign(fleet.keyValue.faults, { loseAnswers: 0 });
 }
 
-async function storeSlow({ fleet, lastsMs }: FaultContext): Promise<void> {
+async function storeSlow({ fleet, durationMs }: FaultContext): Promise<void> {
   Object.assign(fleet.keyValue.faults, { delayMs: 700 });
-  await sleep(lastsMs);
+  await sleep(durationMs);
   Object.assign(fleet.keyValue.faults, { delayMs: 0 });
 }
 
-async function takeOut({ fleet, random, history, lastsMs }: FaultContext): Promise<void> {
-  const { name } = pick(fleet.shape.centres, random);
-  const out = await fleet.admin('POST', `data-centres/${name}/take-out`, { reason: 'fault' });
-  if (out.status !== 200) return;
-  const from = Date.now() + graceMs;
-  await sleep(graceMs + lastsMs);
-  history.outings.push({ dataCentre: name, from, until: Date.now() });
-  let back = 0;
-  while (back !== 200) {
-    const answer = await fleet.admin('POST', `data-centres/${name}/return`, { reason: 'fault' });
-    back = answer.status;
+async function takeOut({ fleet, random, history, durationMs }: FaultContext): Promise<void> {
+  const { name } = pick(fleet.shape.dataCentres, random);
+  const response = await fleet.admin('POST', `data-centres/${name}/take-out`, { reason: 'fault' });
+  if (response.status !== 200) return;
+  const from = Date.now() + propagationMs;
+  await sleep(propagationMs + durationMs);
+  history.takeOutPeriods.push({ dataCentre: name, from, until: Date.now() });
+  let status = 0;
+  while (status !== 200) {
+    const returned = await fleet.admin('POST', `data-centres/${name}/return`, { reason: 'fault' });
+    status = returned.status;
   }
 }
 
-async function rollOut({ fleet, history, lastsMs }: FaultContext): Promise<void> {
+async function rollOut({ fleet, history, durationMs }: FaultContext): Promise<void> {
   const version = `v${history.faults.length + 2}`;
   await fleet.rollOut(model, version).catch(() => undefined);
-  await sleep(lastsMs);
+  await sleep(durationMs);
 }
 
 async function corruptChunks(context: FaultContext): Promise<void> {
@@ -98,35 +98,35 @@
 
 async function silenceLinks(context: FaultContext): Promise<void> {
   pickEngine(context).relay?.set(RelayMode.silentOld);
-  await sleep(context.lastsMs);
+  await sleep(context.durationMs);
   pickEngine(context).relay?.set(RelayMode.open);
 }
 
 async function cutLinks(context: FaultContext): Promise<void> {
   const { relay } = pickEngine(context);
   relay?.set(RelayMode.cut);
-  await sleep(context.lastsMs);
+  await sleep(context.durationMs);
   relay?.set(RelayMode.open);
 }
 
 async function turnCold(context: FaultContext): Promise<void> {
   pickEngine(context).engine?.turnCold();
-  await sleep(context.lastsMs);
+  await sleep(context.durationMs);
 }
 
 async function crashEngine(context: FaultContext): Promise<void> {
   pickEngine(context).engine?.crash();
-  await sleep(context.lastsMs);
+  await sleep(context.durationMs);
 }
 
-async function crashingRequest({ fleet, random, lastsMs }: FaultContext): Promise<void> {
-  const caller = new Caller(pick(fleet.entries, random).callers);
+async function crashingRequest({ fleet, random, durationMs }: FaultContext): Promise<void> {
+  const caller = new Caller(pick(fleet.entries, random).callerUrl);
   await caller.complete('assistant', `${crashingPrompt} ${random.next()}`).catch(() => undefined);
   await caller.close();
-  await sleep(lastsMs);
+  await sleep(durationMs);
 }
 
-/** The failures of the brief that a run combines, by name. */
+/** The required fault kinds that a run combines, by name. */
 export const faultActions: Readonly<Record<string, FaultAction>> = {
   killAgent,
   killEntry,
@@ -144,7 +144,7 @@
   crashingRequest,
 };
 
-/** Chooses two or three different failures that overlap. */
+/** Draws two or three different faults that overlap. */
 export function chooseFaults(random: Random): string[] {
   const names = Object.keys(faultActions);
   const count = 2 + Math.floor(random.next() * 2);
--- a/bench/src/faults/faultHistory.ts
+++ b/bench/src/faults/faultHistory.ts
@@ -1,4 +1,4 @@
-/** What became of one completion. */
+/** The outcome of one completion. */
 export interface CompletionRecord {
   readonly prompt: string;
   readonly maxTokens: number;
@@ -10,31 +10,31 @@
   readonly at: number;
 }
 
-/** One try of an order with an idempotency key. */
+/** One attempt of an order with an idempotency key. */
 export interface OrderRecord {
   readonly key: string;
   readonly body: string;
   readonly status: number;
   readonly execution: string;
-  readonly answer: string;
+  readonly response: string;
 }
 
 /** The configuration revision that a process had in force. */
 export interface RevisionRecord {
   readonly process: string;
-  /** Start number of the process; a new one begins after a kill. */
+  /** Process id; distinguishes the runs of a restarted process. */
   readonly start: number;
   readonly revision: number;
 }
 
-/** A data centre was out from `from` until `until`, in wall-clock milliseconds. */
-export interface Outing {
+/** A period in which a data centre was taken out, in wall-clock milliseconds. */
+export interface TakeOutPeriod {
   readonly dataCentre: string;
   readonly from: number;
   readonly until: number;
 }
 
-/** Everything that a run with faults has recorded. */
+/** All records of a run with faults. */
 export class FaultHistory {
   readonly completions: CompletionRecord[] = [];
 
@@ -42,9 +42,9 @@
 
   readonly revisions: RevisionRecord[] = [];
 
-  readonly outings: Outing[] = [];
+  readonly takeOutPeriods: TakeOutPeriod[] = [];
 
-  /** Highest revision that the administration API called accepted. */
+  /** Highest revision that the administration API reported as accepted. */
   acceptedRevision = 0;
 
   readonly faults: string[] = [];
--- a/bench/src/faults/faultRun.ts
+++ b/bench/src/faults/faultRun.ts
@@ -2,12 +2,12 @@
 import { engineDefaults } from '@laburnumstream/standins';
 import type { EngineStandIn } from '@laburnumstream/standins';
 import { Fleet } from '../fleet.js';
-import { small } from '../fleetShape.js';
+import { smallFleet } from '../fleetShape.js';
 import { chooseFaults, faultActions } from './faultActions.js';
 import { FaultHistory } from './faultHistory.js';
 import { FaultLoad } from './faultLoad.js';
-import { findBreaks } from './invariants.js';
-import type { Break, Observed } from './invariants.js';
+import { findViolations } from './invariants.js';
+import type { Violation, Observations } from './invariants.js';
 
 const model = 'assistant-model';
 const recoveryMs = 60_000;
@@ -16,9 +16,9 @@
 /** The outcome of one run. */
 export interface FaultOutcome {
   readonly faults: readonly string[];
-  readonly breaks: readonly Break[];
+  readonly violations: readonly Violation[];
   readonly completions: number;
-  readonly wholeShare: number;
+  readonly completeShare: number;
   readonly orders: number;
 }
 
@@ -29,20 +29,20 @@
   return Math.max(0, ...over);
 }
 
-function observe(fleet: Fleet): Observed {
+function observe(fleet: Fleet): Observations {
   const engines = fleet.agents.flatMap((agent) => agent.engine ?? []);
   return {
     orderRuns: fleet.agents.flatMap(({ plain }) => plain?.runs.map(({ body }) => body) ?? []),
     contents: fleet.origin.contents(model),
     engineRuns: fleet.agents.flatMap((agent) =>
-      (agent.engine?.runs ?? []).map((run) => ({ dataCentre: agent.centre.name, run })),
+      (agent.engine?.runs ?? []).map((run) => ({ dataCentre: agent.dataCentre.name, run })),
     ),
     coldOverload: coldOverload(engines),
     serving: engines.map(({ serving }) => serving),
   };
 }
 
-/** Heals what faults may have left behind, so that the system can recover. */
+/** Removes all remaining faults, so that the system can recover. */
 function heal(fleet: Fleet): void {
   Object.assign(fleet.keyValue.faults, { down: false, delayMs: 0, loseAnswers: 0 });
   [...fleet.entries, ...fleet.agents].forEach(({ process }) => {
@@ -51,43 +51,47 @@
   });
 }
 
-/** Whether every entry knows every agent and a completion comes whole again. */
-async function recovered(fleet: Fleet, load: FaultLoad): Promise<Break[]> {
+/** Checks that every entry knows every agent and that a completion succeeds again. */
+async function checkRecovery(fleet: Fleet, load: FaultLoad): Promise<Violation[]> {
   try {
-    await fleet.ready();
-    await fleet.until(() => fleet.rolledOut(model), 'all engines serve the release', recoveryMs);
-    await fleet.until(() => load.completion(), 'a completion comes whole', recoveryMs);
+    await fleet.waitUntilReady();
+    await fleet.waitUntil(
+      () => fleet.isRolledOut(model),
+      'all engines serve the release',
+      recoveryMs,
+    );
+    await fleet.waitUntil(() => load.sendCompletion(), 'a completion succeeds', recoveryMs);
     return [];
   } catch (error) {
     return [{ invariant: 'recovery', detail: String(error) }];
   }
 }
 
-/** Runs two or three overlapping failures under load and checks all invariants. */
-export async function runFaults(seed: number, lastsMs: number): Promise<FaultOutcome> {
+/** Runs two or three overlapping faults under load and checks all invariants. */
+export async function runFaults(seed: number, durationMs: number): Promise<FaultOutcome> {
   const random = new SeededRandom(seed);
   const history = new FaultHistory();
-  const fleet = await Fleet.start(small, { engine, relays: true, logLevel: 'warn' });
+  const fleet = await Fleet.start(smallFleet, { engine, relays: true, logLevel: 'warn' });
   const load = new FaultLoad(fleet, history, random);
   try {
     history.faults.push(...chooseFaults(random));
     load.start();
     await Promise.all(
-      history.faults.map((name) => faultActions[name]!({ fleet, random, history, lastsMs })),
+      history.faults.map((name) => faultActions[name]!({ fleet, random, history, durationMs })),
     );
     heal(fleet);
-    const unrecovered = await recovered(fleet, load);
+    const recoveryViolations = await checkRecovery(fleet, load);
     await load.stop();
-    const breaks = [...findBreaks(history, observe(fleet)), ...unrecovered];
-    if (breaks.length > 0) fleet.reportDead();
-    const whole = history.completions.filter(({ ended }) => ended).length;
+    const violations = [...findViolations(history, observe(fleet)), ...recoveryViolations];
+    if (violations.length > 0) fleet.printExitedLogs();
+    const complete = history.completions.filter(({ ended }) => ended).length;
     const { length } = history.completions;
     const orders = new Set(history.orders.map(({ key }) => key)).size;
     return {
       faults: history.faults,
-      breaks,
+      violations,
       completions: length,
-      wholeShare: whole / length,
+      completeShare: complete / length,
       orders,
     };
   } finally {
--- a/bench/src/figure.ts
+++ b/bench/src/figure.ts
@@ -6,11 +6,11 @@
 export interface Measurement {
   readonly name: string;
   readonly value: number;
-  /** Needed for figures without a stated bound only. */
+  /** Required only for figures without a bound; others take the unit of their bound. */
   readonly unit?: string;
 }
 
-/** A measured value with its unit and, when stated, its bound. */
+/** A measured value with its unit and, if any, its bound. */
 export interface Figure {
   readonly name: string;
   readonly value: number;
@@ -18,38 +18,39 @@
   readonly bound?: string;
 }
 
-/** The choices of one bench run. */
+/** Options of one bench run. */
 export interface BenchRun {
   readonly seed: number;
-  /** Smaller sizes, for a quick look. */
+  /** Runs smaller sizes. */
   readonly quick: boolean;
+  /** Number of runs; 0 for the bench's default. */
   readonly runs: number;
 }
 
-/** A bench: measures and returns its figures. */
+/** Runs a bench and returns its measurements. */
 export type Bench = (run: BenchRun) => Promise<readonly Measurement[]>;
 
-const meets: Readonly<Record<Bound['operator'], (value: number, bound: number) => boolean>> = {
+const compare: Readonly<Record<Bound['operator'], (value: number, bound: number) => boolean>> = {
   '<=': (value, bound) => value <= bound,
   '>=': (value, bound) => value >= bound,
 };
 
-function boundOf(bench: string, name: string): Bound | undefined {
+function findBound(bench: string, name: string): Bound | undefined {
   return bounds.find((bound) => bound.bench === bench && bound.figure === name);
 }
 
-/** Adds units and bounds to a bench's measurements. */
+/** Adds units and bounds to the measurements of a bench. */
 export function toFigures(bench: string, measurements: readonly Measurement[]): Figure[] {
   return measurements.map(({ name, value, unit }) => {
-    const bound = boundOf(bench, name);
+    const bound = findBound(bench, name);
     if (!bound && !unit) throw new Failure('no_unit', `The figure ${bench} ${name} has no unit.`);
     if (!bound) return { name, value, unit: unit! };
     return { name, value, unit: bound.unit, bound: `${bound.operator} ${bound.value}` };
   });
 }
 
-/** Whether a figure is within its stated bound. */
+/** Whether a figure is within its bound; true for figures without one. */
 export function isWithin(bench: string, { name, value }: Figure): boolean {
-  const bound = boundOf(bench, name);
-  return !bound || meets[bound.operator](value, bound.value);
+  const bound = findBound(bench, name);
+  return !bound || compare[bound.operator](value, bound.value);
 }
--- a/bench/src/fleet.ts
+++ b/bench/src/fleet.ts
@@ -16,55 +16,56 @@
   makeContent,
 } from '@laburnumstream/standins';
 import type { EngineBehaviour, TokenBucket } from '@laburnumstream/standins';
-import type { CentreShape, FleetShape, ServiceShape } from './fleetShape.js';
+import type { DataCentreShape, FleetShape, ServiceShape } from './fleetShape.js';
 import { ManagedProcess, Program } from './managedProcess.js';
 import { freePorts } from './ports.js';
 
-/** Token of the operator in fleets under test. */
+/** Operator token of fleets under test. */
 export const operatorToken = 'operator-token-of-the-test-fleet';
-/** Secret between the processes of fleets under test. */
+/** Secret that the processes of a fleet under test share. */
 export const internalSecret = 'secret-between-the-test-processes';
 
 const readyTimeoutMs = 60_000;
-const pollMs = 50;
-/** Longest end of a log that is printed, in characters. */
-const longestReport = 2_000;
+const pollIntervalMs = 50;
+/** Maximum length of a printed log tail, in characters. */
+const maxReportLength = 2_000;
 const defaultChunkBytes = 65_536;
 const defaultWeightBytes = 1_048_576;
 
-/** Choices for a fleet under test. */
+/** Options of a fleet under test. */
 export interface FleetOptions {
   readonly engine?: Partial<EngineBehaviour>;
-  readonly options?: Partial<Options>;
+  readonly optionOverrides?: Partial<Options>;
   readonly weightBytes?: number;
   readonly chunkBytes?: number;
   readonly originLink?: TokenBucket;
   readonly listLagMs?: number;
   readonly logLevel?: string;
-  /** Longest time until all processes serve, in milliseconds. */
+  /** Maximum time until all processes serve. */
   readonly readyTimeoutMs?: number;
-  /** Puts a relay between entries and each agent. */
+  /** Puts a relay between the entries and each agent. */
   readonly relays?: boolean;
+  /** Copies the output of all processes to standard error. */
   readonly echo?: boolean;
 }
 
-/** An entry under test and its addresses. */
+/** An entry under test with its base URLs. */
 export interface FleetEntry {
   readonly name: string;
-  readonly centre: CentreShape;
-  readonly callers: string;
-  readonly operators: string;
-  readonly internal: string;
+  readonly dataCentre: DataCentreShape;
+  readonly callerUrl: string;
+  readonly operatorUrl: string;
+  readonly internalUrl: string;
   readonly process: ManagedProcess;
 }
 
-/** An agent under test and the stand-in endpoint beside it. */
+/** An agent under test with its base URLs and its stand-in endpoint. */
 export interface FleetAgent {
   readonly name: string;
-  readonly centre: CentreShape;
+  readonly dataCentre: DataCentreShape;
   readonly service: string;
-  readonly internal: string;
-  readonly weights: string;
+  readonly internalUrl: string;
+  readonly weightsUrl: string;
   readonly engine?: EngineStandIn;
   readonly plain?: PlainStandIn;
   /** The relay through which entries reach the agent. */
@@ -72,13 +73,13 @@
   readonly process: ManagedProcess;
 }
 
-/** Stand-ins of the platform with entries and agents as separate processes. */
+/** A fleet of entry and agent processes on stand-ins of the platform's services. */
 export class Fleet {
   readonly keyValue = new KeyValueStandIn();
 
   readonly origin: OriginStandIn;
 
-  readonly list: InstanceListStandIn;
+  readonly instanceList: InstanceListStandIn;
 
   readonly entries: FleetEntry[] = [];
 
@@ -88,38 +89,38 @@
 
   constructor(
     readonly shape: FleetShape,
-    private readonly choices: FleetOptions = {},
+    private readonly options: FleetOptions = {},
   ) {
-    this.origin = new OriginStandIn(choices.originLink);
-    this.list = new InstanceListStandIn(choices.listLagMs);
+    this.origin = new OriginStandIn(options.originLink);
+    this.instanceList = new InstanceListStandIn(options.listLagMs);
   }
 
-  /** Starts the stand-ins and all processes, applies a configuration and waits until all serve. */
-  static async start(shape: FleetShape, choices: FleetOptions = {}): Promise<Fleet> {
-    const fleet = new Fleet(shape, choices);
-    await Promise.all([fleet.keyValue.start(), fleet.origin.start(), fleet.list.start()]);
+  /** Starts stand-ins and processes, applies a configuration and waits until all endpoints serve. */
+  static async start(shape: FleetShape, options: FleetOptions = {}): Promise<Fleet> {
+    const fleet = new Fleet(shape, options);
+    await Promise.all([fleet.keyValue.start(), fleet.origin.start(), fleet.instanceList.start()]);
     await fleet.prepare();
     fleet.entries.forEach(({ process }) => process.start());
     fleet.agents.forEach(({ process }) => process.start());
     await fleet.configure();
-    await fleet.ready();
+    await fleet.waitUntilReady();
     return fleet;
   }
 
-  /** Makes entries and agents, writes their settings and fills the list; starts nothing. */
+  /** Creates entries and agents, writes their settings and fills the instance list; starts none. */
   async prepare(): Promise<void> {
-    for (const centre of this.shape.centres) {
-      for (let number = 1; number <= centre.entries; number += 1) {
-        await this.addEntry(centre, number);
+    for (const dataCentre of this.shape.dataCentres) {
+      for (let number = 1; number <= dataCentre.entries; number += 1) {
+        await this.addEntry(dataCentre, number);
       }
     }
     for (const service of this.shape.services) await this.addService(service);
-    this.list.set(this.instances());
+    this.instanceList.set(this.instances());
   }
 
-  /** Sends a call to the administration API of an entry. */
+  /** Calls the administration API of an entry. */
   async admin(method: string, path: string, body?: object, entry = this.entries[0]!) {
-    const response = await fetch(`${entry.operators}/admin/v1/${path}`, {
+    const response = await fetch(`${entry.operatorUrl}/admin/v1/${path}`, {
       method,
       headers: { authorization: `Bearer ${operatorToken}` },
       ...(body ? { body: JSON.stringify(body) } : {}),
@@ -129,14 +130,14 @@
 
   /** Publishes a version at the origin and starts its roll-out. */
   async rollOut(model: string, version: string): Promise<void> {
-    const { weightBytes = defaultWeightBytes, chunkBytes = defaultChunkBytes } = this.choices;
+    const { weightBytes = defaultWeightBytes, chunkBytes = defaultChunkBytes } = this.options;
     this.origin.publish(model, version, makeContent(model, version, weightBytes), chunkBytes);
-    const answer = await this.admin('POST', `roll-outs/${model}`, { version, reason: 'test' });
-    if (answer.status !== 200) throw new Failure('roll_out', JSON.stringify(answer.body));
+    const response = await this.admin('POST', `roll-outs/${model}`, { version, reason: 'test' });
+    if (response.status !== 200) throw new Failure('roll_out', JSON.stringify(response.body));
   }
 
-  /** Waits until a condition holds. */
-  async until(
+  /** Polls until a condition holds; throws `Timeout` with `what` in its message. */
+  async waitUntil(
     condition: () => Promise<boolean> | boolean,
     what: string,
     timeoutMs = readyTimeoutMs,
@@ -144,44 +145,44 @@
     const deadline = performance.now() + timeoutMs;
     while (!(await condition())) {
       if (performance.now() > deadline) throw new Timeout(`Waited too long until ${what}.`);
-      await sleep(pollMs);
+      await sleep(pollIntervalMs);
     }
   }
 
-  /** Whether every endpoint of a model serves the version that is to be served. */
-  async rolledOut(model: string): Promise<boolean> {
+  /** Whether every endpoint of a model serves the current target version. */
+  async isRolledOut(model: string): Promise<boolean> {
     const { body } = await this.admin('GET', `roll-outs/${model}`);
     return Number(body.endpoints) > 0 && body.done === body.endpoints;
   }
 
   /** Waits until all endpoints are known and serve. */
-  async ready(): Promise<void> {
-    await this.until(() => this.isReady(), 'the fleet is ready', this.choices.readyTimeoutMs);
+  async waitUntilReady(): Promise<void> {
+    await this.waitUntil(() => this.isReady(), 'the fleet is ready', this.options.readyTimeoutMs);
   }
 
-  /** Prints what processes that have ended by themselves last logged. */
-  reportDead(): void {
+  /** Prints the log tails of processes that are no longer running. */
+  printExitedLogs(): void {
     [...this.entries, ...this.agents]
       .filter(({ process: each }) => !each.isRunning)
       .forEach(({ name, process: each }) => {
-        process.stderr.write(`${name} has ended:\n${each.log.slice(-longestReport)}\n`);
+        process.stderr.write(`${name} has ended:\n${each.log.slice(-maxReportLength)}\n`);
       });
   }
 
-  /** Ends all processes and stand-ins. */
+  /** Kills all processes and stops all stand-ins. */
   async close(): Promise<void> {
     const processes = [...this.entries, ...this.agents].map(({ process }) => process);
     processes.forEach((process) => process.signal('SIGCONT'));
     await Promise.all(processes.map((process) => process.kill()));
     const endpoints = this.agents.map(({ engine, plain }) => engine ?? plain);
     const relays = this.agents.map(({ relay }) => relay);
-    const standIns = [this.keyValue, this.origin, this.list, ...endpoints, ...relays];
+    const standIns = [this.keyValue, this.origin, this.instanceList, ...endpoints, ...relays];
     await Promise.all(standIns.map((standIn) => standIn?.stop()));
     rmSync(this.folder, { recursive: true });
   }
 
-  /** The model that a service of engines serves in fleets under test. */
-  modelOf(service: string): string {
+  /** The name of the model that an engine service serves in fleets under test. */
+  getModelName(service: string): string {
     return `${service}-model`;
   }
 
@@ -204,17 +205,17 @@
 
   private async configure(): Promise<void> {
     const reachable = async () => {
-      const answer = await this.admin('GET', 'status').catch(() => undefined);
-      return answer?.status === 200;
+      const response = await this.admin('GET', 'status').catch(() => undefined);
+      return response?.status === 200;
     };
-    await this.until(reachable, 'the first entry answers');
+    await this.waitUntil(reachable, 'the first entry answers');
     const services = this.shape.services.map(({ name, kind }) => [
       name,
       kind === 'engine'
-        ? { kind: 'model', model: this.modelOf(name) }
+        ? { kind: 'model', model: this.getModelName(name) }
         : { kind: 'plain', nonIdempotentPaths: ['/orders'] },
     ]);
-    const dataCentres = this.shape.centres.map(({ name }) => [
+    const dataCentres = this.shape.dataCentres.map(({ name }) => [
       name,
       { state: 'in', reason: 'first configuration', since: 0 },
     ]);
@@ -222,19 +223,19 @@
       const name = `workspace-${index}`;
       return [name, { tokenHashes: [sha256(`token-of-${name}`)] }];
     });
-    const answer = await this.admin('POST', 'configuration', {
+    const response = await this.admin('POST', 'configuration', {
       reason: 'first configuration',
       services: Object.fromEntries(services) as unknown,
       dataCentres: Object.fromEntries(dataCentres) as unknown,
       workspaces: Object.fromEntries(workspaces) as unknown,
     });
-    if (answer.status !== 200) throw new Failure('configure', JSON.stringify(answer.body));
+    if (response.status !== 200) throw new Failure('configure', JSON.stringify(response.body));
     const engines = this.shape.services.filter(({ kind }) => kind === 'engine');
-    for (const { name } of engines) await this.rollOut(this.modelOf(name), 'v1');
+    for (const { name } of engines) await this.rollOut(this.getModelName(name), 'v1');
   }
 
-  private async addEntry(centre: CentreShape, number: number): Promise<void> {
-    const name = `entry-${centre.name}-${number}`;
+  private async addEntry(dataCentre: DataCentreShape, number: number): Promise<void> {
+    const name = `entry-${dataCentre.name}-${number}`;
     const [callers, operators, internal] = await freePorts(3);
     const listen = {
       callers: `127.0.0.1:${callers}`,
@@ -242,68 +243,72 @@
       internal: `127.0.0.1:${internal}`,
     };
     const bootstrapOperators = { test: sha256(operatorToken) };
-    const file = this.writeSettings(name, centre, { role: 'entry', listen, bootstrapOperators });
+    const file = this.writeSettings(name, dataCentre, {
+      role: 'entry',
+      listen,
+      bootstrapOperators,
+    });
     this.entries.push({
       name,
-      centre,
-      callers: `http://${listen.callers}`,
-      operators: `http://${listen.operators}`,
-      internal: `http://${listen.internal}`,
-      process: new ManagedProcess(name, Program.entry, file, this.choices.echo),
+      dataCentre,
+      callerUrl: `http://${listen.callers}`,
+      operatorUrl: `http://${listen.operators}`,
+      internalUrl: `http://${listen.internal}`,
+      process: new ManagedProcess(name, Program.entry, file, this.options.echo),
     });
   }
 
   private async addService(service: ServiceShape): Promise<void> {
-    for (const [index, centre] of this.shape.centres.entries()) {
+    for (const [index, dataCentre] of this.shape.dataCentres.entries()) {
       for (let number = 1; number <= (service.endpoints[index] ?? 0); number += 1) {
-        await this.addAgent(service, centre, number);
+        await this.addAgent(service, dataCentre, number);
       }
     }
   }
 
-  private async addAgent(service: ServiceShape, centre: CentreShape, number: number) {
-    const name = `${service.name}-${centre.name}-${number}`;
+  private async addAgent(service: ServiceShape, dataCentre: DataCentreShape, number: number) {
+    const name = `${service.name}-${dataCentre.name}-${number}`;
     const [internal, weights] = await freePorts(2);
-    const behaviour = { ...engineDefaults, ...this.choices.engine };
+    const behaviour = { ...engineDefaults, ...this.options.engine };
     const isEngine = service.kind === 'engine';
     const engine = isEngine ? await new EngineStandIn(behaviour).start() : undefined;
     const plain = isEngine ? undefined : await new PlainStandIn().start();
-    const relay = this.choices.relays ? await new Relay(internal!).start() : undefined;
+    const relay = this.options.relays ? await new Relay(internal!).start() : undefined;
     const advertised = relay ? { advertised: relay.address } : {};
     const addresses = { internal: `127.0.0.1:${internal}`, weights: `127.0.0.1:${weights}` };
     const listen = { ...addresses, ...advertised };
     const url = (engine ?? plain)!.address;
     const endpoint = { kind: service.kind, url, checksFencing: behaviour.checksFencing };
     const role = { role: 'agent', listen, service: service.name, endpoint };
-    const file = this.writeSettings(name, centre, role);
+    const file = this.writeSettings(name, dataCentre, role);
     this.agents.push({
       name,
-      centre,
+      dataCentre,
       service: service.name,
-      internal: `http://${listen.internal}`,
-      weights: `http://${listen.weights}`,
+      internalUrl: `http://${listen.internal}`,
+      weightsUrl: `http://${listen.weights}`,
       ...(engine ? { engine } : {}),
       ...(plain ? { plain } : {}),
       ...(relay ? { relay } : {}),
-      process: new ManagedProcess(name, Program.agent, file, this.choices.echo),
+      process: new ManagedProcess(name, Program.agent, file, this.options.echo),
     });
   }
 
-  private writeSettings(instance: string, centre: CentreShape, role: object): string {
+  private writeSettings(instance: string, dataCentre: DataCentreShape, role: object): string {
     const file = join(this.folder, `${instance}.jsonc`);
     const settings = {
       instance,
-      region: centre.region,
-      dataCentre: centre.name,
+      region: dataCentre.region,
+      dataCentre: dataCentre.name,
       platform: {
         keyValue: this.keyValue.address,
         origin: this.origin.address,
-        instances: this.list.address,
+        instances: this.instanceList.address,
         originRegion: this.shape.originRegion,
       },
       secrets: [internalSecret],
-      log: { level: this.choices.logLevel ?? 'info' },
-      options: { instanceListMs: 200, ...this.choices.options },
+      log: { level: this.options.logLevel ?? 'info' },
+      options: { instanceListMs: 200, ...this.options.optionOverrides },
       ...role,
     };
     writeFileSync(file, `// Settings of ${instance}.\n${JSON.stringify(settings, null, 2)}\n`);
@@ -311,19 +316,26 @@
   }
 
   private instances(): Instance[] {
-    const place = ({ name, region }: CentreShape) => ({ dataCentre: name, region });
+    const place = ({ name, region }: DataCentreShape) => ({ dataCentre: name, region });
     const { live: state } = InstanceState;
     return [
-      ...this.entries.map(({ name, centre, internal }) => ({
+      ...this.entries.map(({ name, dataCentre, internalUrl }) => ({
         name,
         role: InstanceRole.entry,
-        ...place(centre),
-        address: internal,
+        ...place(dataCentre),
+        address: internalUrl,
         state,
       })),
-      ...this.agents.map(({ name, centre, internal, weights, service }) => {
-        const addresses = { address: internal, weightsAddress: weights };
-        return { name, role: InstanceRole.agent, ...place(centre), ...addresses, service, state };
+      ...this.agents.map(({ name, dataCentre, internalUrl, weightsUrl, service }) => {
+        const addresses = { address: internalUrl, weightsAddress: weightsUrl };
+        return {
+          name,
+          role: InstanceRole.agent,
+          ...place(dataCentre),
+          ...addresses,
+          service,
+          state,
+        };
       }),
     ];
   }
--- a/bench/src/fleetShape.ts
+++ b/bench/src/fleetShape.ts
@@ -2,12 +2,12 @@
 export interface ServiceShape {
   readonly name: string;
   readonly kind: 'engine' | 'plain';
-  /** Endpoints in each data centre, in the order of the shape's data centres. */
+  /** Number of endpoints in each data centre, in the order of `FleetShape.dataCentres`. */
   readonly endpoints: readonly number[];
 }
 
-/** Where instances stand. */
-export interface CentreShape {
+/** A data centre and its number of entries. */
+export interface DataCentreShape {
   readonly name: string;
   readonly region: string;
   readonly entries: number;
@@ -15,14 +15,14 @@
 
 /** The shape of a fleet under test. */
 export interface FleetShape {
-  readonly centres: readonly CentreShape[];
+  readonly dataCentres: readonly DataCentreShape[];
   readonly services: readonly ServiceShape[];
   readonly originRegion: string;
 }
 
 /** Pecos Tag & Brand: 7 entries, 10 engines, 3 order desks, 1 portal over 3 data centres. */
-export const pecos: FleetShape = {
-  centres: [
+export const pecosFleet: FleetShape = {
+  dataCentres: [
     { name: 'lubbock-a', region: 'south-plains', entries: 3 },
     { name: 'sanangelo-a', region: 'edwards-plateau', entries: 2 },
     { name: 'alpine-a', region: 'trans-pecos', entries: 2 },
@@ -36,8 +36,8 @@
 };
 
 /** Noorani Gemological: 7 entries, 6 engines, 3 certificate desks, 1 portal over 3 data centres. */
-export const noorani: FleetShape = {
-  centres: [
+export const nooraniFleet: FleetShape = {
+  dataCentres: [
     { name: 'sindh-a', region: 'sindh', entries: 3 },
     { name: 'punjab-a', region: 'punjab', entries: 2 },
     { name: 'khyber-a', region: 'khyber', entries: 2 },
@@ -51,8 +51,8 @@
 };
 
 /** The smallest fleet with two data centres. */
-export const small: FleetShape = {
-  centres: [
+export const smallFleet: FleetShape = {
+  dataCentres: [
     { name: 'north-a', region: 'north', entries: 1 },
     { name: 'south-a', region: 'south', entries: 1 },
   ],
--- a/bench/src/heavyDays/heavyDay.ts
+++ b/bench/src/heavyDays/heavyDay.ts
@@ -2,45 +2,45 @@
 import type { ServiceProfile } from '@laburnumstream/common';
 import { EngineModel } from '@laburnumstream/decisions';
 import { VirtualClock } from '@laburnumstream/standins';
-import { heavyLoad } from './heavyLoad.js';
+import { drawHeavyLoad } from './heavyLoad.js';
 import type { HeavyRequest } from './heavyLoad.js';
 import { VirtualEngine } from './virtualEngine.js';
-import { regionOf, ways } from './ways.js';
-import type { Way } from './ways.js';
+import { getRegion, admissionPolicies } from './ways.js';
+import type { AdmissionPolicy } from './ways.js';
 
-/** A load on a deployment in virtual time. */
+/** A deployment, the load on it and the admission policy of its entries. */
 export interface HeavyShape {
   readonly seed: number;
-  readonly way: string;
+  readonly policy: string;
   readonly engines: number;
   readonly entries: number;
   readonly regions: number;
-  /** Times the rates of the sheet. */
-  readonly factor: number;
+  /** Multiplier of the request rates in {@link heavyKinds}. */
+  readonly rateFactor: number;
   readonly seconds: number;
 }
 
-/** Counts of requests, or their credit. */
+/** Counts of requests by their result. */
 export interface HeavyCounts {
-  readonly asked: number;
+  readonly requestCount: number;
   readonly inTime: number;
   readonly late: number;
   readonly refused: number;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface HeavyOutcome extends HeavyCounts {
-  /** Credit of requests in time, of that of all. */
+  /** Credit of the requests that were in time, as a share of the credit of all requests. */
   readonly creditInTime: number;
-  /** The most of it that engines can do which know all sizes and never wait. */
-  readonly creditAtBest: number;
-  /** Share in time of each workspace, kind and of the largest tenth, of that of all. */
-  readonly leastWorkspaceShare: number;
-  readonly leastKindShare: number;
-  readonly largestShare: number;
+  /** Upper bound of `creditInTime`: engines that know all sizes in advance and are never idle. */
+  readonly optimalCredit: number;
+  /** In-time rate of the worst workspace, the worst kind and the largest tenth, over that of all. */
+  readonly minWorkspaceShare: number;
+  readonly minKindShare: number;
+  readonly largestTenthShare: number;
 }
 
-/** Timing of the engines of both sites, as their configuration states it. */
+/** Engine timing of both users' sites, as their configuration states it. */
 export const heavyProfile: ServiceProfile = {
   name: 'model',
   healthPath: '/health',
@@ -66,18 +66,18 @@
   },
 };
 
-const reportMs = 300;
-const shareMs = 10;
+const reportIntervalMs = 300;
+const shareIntervalMs = 10;
 const secondMs = 1_000;
-const pauseGoalMs = 300;
+const maxEventGapMs = 300;
 const timeoutMs = 6_000;
-/** Time after the last arrival until all requests have ended. */
-const tailMs = 8_000;
-const largestPart = 0.1;
+/** Time after the last arrival within which all requests end. */
+const drainMs = 8_000;
+const largestFraction = 0.1;
 
 type Result = 'inTime' | 'late' | 'refused';
 
-/** Runs a load in virtual time against one way of admission. */
+/** Runs a load in virtual time against one admission policy. */
 export class HeavyDay {
   private readonly clock = new VirtualClock();
 
@@ -85,18 +85,18 @@
 
   private readonly engines: VirtualEngine[];
 
-  private readonly entries: Way[];
+  private readonly entries: AdmissionPolicy[];
 
   private readonly model = new EngineModel(heavyProfile.engine!);
 
   private readonly results = new Map<HeavyRequest, Result>();
 
   constructor(private readonly shape: HeavyShape) {
-    const { seed, way, engines, entries, regions } = shape;
+    const { seed, policy, engines, entries, regions } = shape;
     this.random = new SeededRandom(seed);
     this.engines = Array.from({ length: engines }, () => new VirtualEngine(this.model, this.clock));
     this.entries = Array.from({ length: entries }, (_, entry) =>
-      ways[way]!({
+      admissionPolicies[policy]!({
         engines,
         entries,
         entry,
@@ -109,26 +109,27 @@
   }
 
   async run(): Promise<HeavyOutcome> {
-    const { factor, seconds } = this.shape;
-    const requests = heavyLoad(factor, seconds, this.random);
-    const endAt = seconds * secondMs + tailMs;
+    const { rateFactor, seconds } = this.shape;
+    const requests = drawHeavyLoad(rateFactor, seconds, this.random);
+    const endAt = seconds * secondMs + drainMs;
     requests.forEach((request) =>
-      this.clock.at(request.arrivesAt, () => void this.ask(request, false)),
+      this.clock.at(request.arrivesAt, () => void this.submit(request, false)),
     );
-    for (let at = 0; at < endAt; at += reportMs) this.clock.at(at, () => this.report());
-    for (let at = 0; at < endAt; at += shareMs) this.clock.at(at, () => this.share());
+    for (let at = 0; at < endAt; at += reportIntervalMs)
+      this.clock.at(at, () => this.reportLoads());
+    for (let at = 0; at < endAt; at += shareIntervalMs) this.clock.at(at, () => this.shareLoads());
     await this.clock.runUntil(endAt);
-    return this.outcome(requests);
+    return this.summarize(requests);
   }
 
-  private async ask(request: HeavyRequest, isReturned: boolean): Promise<void> {
-    // Callers are spread unevenly.
+  private async submit(request: HeavyRequest, isReturned: boolean): Promise<void> {
+    // The exponent skews the load towards the first entries.
     const index = Math.floor(this.entries.length * this.random.next() ** 1.2);
     const { entry } = this.entries[index]!;
-    const left = AbortSignal.any([]);
+    const signal = AbortSignal.any([]);
     try {
-      const engine = await entry.place(request, isReturned, left);
-      this.send(request, engine, entry);
+      const engine = await entry.place(request, isReturned, signal);
+      this.dispatch(request, engine, entry);
     } catch (error) {
       if (!(error instanceof Unavailable)) throw error;
       if (isReturned) {
@@ -136,51 +137,51 @@
         return;
       }
       await this.clock.sleep(error.retryAfterMs ?? 0);
-      await this.ask(request, true);
+      await this.submit(request, true);
     }
   }
 
-  private send(request: HeavyRequest, engine: number, entry: Way['entry']): void {
+  private dispatch(request: HeavyRequest, engine: number, entry: AdmissionPolicy['entry']): void {
     let lastAt: number | undefined;
     let isInTime = true;
     const onEvent = (at: number): void => {
       if (lastAt === undefined) {
-        entry.wasRead(engine, request);
+        entry.onFirstEvent(engine, request);
         isInTime = at - request.arrivesAt <= request.kind.goalMs;
-      } else if (at - lastAt > pauseGoalMs) isInTime = false;
+      } else if (at - lastAt > maxEventGapMs) isInTime = false;
       lastAt = at;
     };
     const onEnd = (): void => {
-      entry.ended(engine);
-      const isServed = this.clock.now() - request.arrivesAt <= timeoutMs;
-      const served = isInTime ? 'inTime' : 'late';
-      this.results.set(request, isServed ? served : 'refused');
+      entry.onEnd(engine);
+      const isBeforeTimeout = this.clock.now() - request.arrivesAt <= timeoutMs;
+      const servedResult = isInTime ? 'inTime' : 'late';
+      this.results.set(request, isBeforeTimeout ? servedResult : 'refused');
     };
     const { promptTokens, events } = request;
     this.engines[engine]!.send({ promptTokens, events, onEvent, onEnd });
   }
 
-  /** Agents report their engines to all entries. */
-  private report(): void {
+  /** Agents report the loads of their engines to all entries. */
+  private reportLoads(): void {
     const { regions, entries: count } = this.shape;
     const now = this.clock.now();
     this.entries.forEach(({ handles }, entry) =>
       handles.forEach((handle, engine) => {
-        const isNear = regionOf(engine, regions) === regionOf(entry, regions);
-        const near = Math.ceil((count - regionOf(engine, regions)) / regions);
+        const isNear = getRegion(engine, regions) === getRegion(entry, regions);
+        const near = Math.ceil((count - getRegion(engine, regions)) / regions);
         const sharers = { near, far: count - near, isNear };
         handle.takeLoad(this.engines[engine]!.load, sharers, this.random, now);
       }),
     );
   }
 
-  /** Entries of a region tell each other their loads. */
-  private share(): void {
+  /** Entries of a region exchange their own loads. */
+  private shareLoads(): void {
     const { regions } = this.shape;
     const now = this.clock.now();
     this.entries.forEach(({ handles }, entry) =>
       this.entries.forEach((other, index) => {
-        if (index === entry || regionOf(index, regions) !== regionOf(entry, regions)) return;
+        if (index === entry || getRegion(index, regions) !== getRegion(entry, regions)) return;
         handles.forEach((handle, engine) => {
           if (!handle.isNear) return;
           other.handles[engine]!.load.hear(`entry-${entry}`, handle.load.ownLoad, now);
@@ -189,54 +190,56 @@
     );
   }
 
-  private outcome(requests: readonly HeavyRequest[]): HeavyOutcome {
-    const results = (kind: Result): HeavyRequest[] =>
+  private summarize(requests: readonly HeavyRequest[]): HeavyOutcome {
+    const withResult = (kind: Result): HeavyRequest[] =>
       requests.filter((request) => (this.results.get(request) ?? 'refused') === kind);
-    const inTime = results('inTime');
-    const creditOf = (all: readonly HeavyRequest[]): number =>
+    const inTime = withResult('inTime');
+    const totalCredit = (all: readonly HeavyRequest[]): number =>
       all.reduce((sum, { credit }) => sum + credit, 0);
-    const owed = creditOf(requests);
-    const shareOf = (isPart: (request: HeavyRequest) => boolean): number => {
-      const part = requests.filter(isPart);
+    const offeredCredit = totalCredit(requests);
+    const relativeShare = (isMember: (request: HeavyRequest) => boolean): number => {
+      const part = requests.filter(isMember);
       const served = part.filter((request) => this.results.get(request) === 'inTime');
       const all = inTime.length / requests.length;
       return part.length === 0 ? 1 : served.length / part.length / all;
     };
-    const least = (keyOf: (request: HeavyRequest) => string): number =>
+    const minShare = (keyOf: (request: HeavyRequest) => string): number =>
       Math.min(
         ...[...new Set(requests.map(keyOf))].map((key) =>
-          shareOf((request) => keyOf(request) === key),
+          relativeShare((request) => keyOf(request) === key),
         ),
       );
-    const bySize = [...requests].sort((a, b) => b.credit / b.kind.worth - a.credit / a.kind.worth);
-    const largest = new Set(bySize.slice(0, Math.ceil(requests.length * largestPart)));
+    const bySize = [...requests].sort(
+      (a, b) => b.credit / b.kind.meanCredit - a.credit / a.kind.meanCredit,
+    );
+    const largest = new Set(bySize.slice(0, Math.ceil(requests.length * largestFraction)));
     return {
-      asked: requests.length,
+      requestCount: requests.length,
       inTime: inTime.length,
-      late: results('late').length,
-      refused: results('refused').length,
-      creditInTime: creditOf(inTime) / owed,
-      creditAtBest: this.atBest(requests) / owed,
-      leastWorkspaceShare: least(({ workspace }) => workspace),
-      leastKindShare: least(({ kind }) => kind.name),
-      largestShare: shareOf((request) => largest.has(request)),
+      late: withResult('late').length,
+      refused: withResult('refused').length,
+      creditInTime: totalCredit(inTime) / offeredCredit,
+      optimalCredit: this.optimalCredit(requests) / offeredCredit,
+      minWorkspaceShare: minShare(({ workspace }) => workspace),
+      minKindShare: minShare(({ kind }) => kind.name),
+      largestTenthShare: relativeShare((request) => largest.has(request)),
     };
   }
 
-  /** Credit that engines could do within the time if requests came when there is room for them. */
-  private atBest(requests: readonly HeavyRequest[]): number {
+  /** Credit within the engines' total time when requests arrive exactly when there is capacity. */
+  private optimalCredit(requests: readonly HeavyRequest[]): number {
     const { engines, seconds } = this.shape;
     const { stride } = heavyProfile.engine!;
     const workOf = ({ promptTokens, events }: HeavyRequest): number =>
       this.model.workMs(promptTokens, events * stride);
-    let leftMs = engines * seconds * secondMs;
+    let remainingMs = engines * seconds * secondMs;
     let credit = 0;
     [...requests]
       .sort((a, b) => b.credit / workOf(b) - a.credit / workOf(a))
       .forEach((request) => {
-        const part = Math.max(0, Math.min(1, leftMs / workOf(request)));
+        const part = Math.max(0, Math.min(1, remainingMs / workOf(request)));
         credit += request.credit * part;
-        leftMs -= workOf(request);
+        remainingMs -= workOf(request);
       });
     return credit;
   }
--- a/bench/src/heavyDays/heavyLoad.ts
+++ b/bench/src/heavyDays/heavyLoad.ts
@@ -1,13 +1,13 @@
 import type { Random } from '@laburnumstream/common';
 
-/** A kind of request, as the users' sheets describe it. */
+/** A class of requests, as the users' data sheets describe it. */
 export interface HeavyKind {
   readonly name: string;
   readonly perSecond: number;
   readonly meanPromptTokens: number;
   readonly meanEvents: number;
   /** Credit of a request of mean size. */
-  readonly worth: number;
+  readonly meanCredit: number;
   readonly goalMs: number;
 }
 
@@ -20,18 +20,18 @@
   readonly arrivesAt: number;
   readonly promptTokens: number;
   readonly events: number;
-  /** Credit when it is in time. */
+  /** Credit earned when the request is served in time. */
   readonly credit: number;
 }
 
-/** The kinds of streams that both sheets list. */
+/** The kinds of streams in the data sheets of both users. */
 export const heavyKinds: readonly HeavyKind[] = [
   {
     name: 'long',
     perSecond: 39.4,
     meanPromptTokens: 1_290,
     meanEvents: 20.6,
-    worth: 2.4,
+    meanCredit: 2.4,
     goalMs: 400,
   },
   {
@@ -39,7 +39,7 @@
     perSecond: 28.4,
     meanPromptTokens: 787,
     meanEvents: 20.6,
-    worth: 2.1,
+    meanCredit: 2.1,
     goalMs: 400,
   },
   {
@@ -47,52 +47,53 @@
     perSecond: 30.5,
     meanPromptTokens: 607,
     meanEvents: 11.6,
-    worth: 1.4,
+    meanCredit: 1.4,
     goalMs: 300,
   },
 ];
 
 const secondMs = 1_000;
 const workspaces = 10;
-/** Spread of prompts and of answers, as the standard deviation of their logarithms. */
-const spread = { prompt: 0.9, answer: 0.75 } as const;
-const most = { promptFactor: 3.5, events: 51 } as const;
+/** Standard deviations of the logarithms of prompt and output lengths. */
+const logDeviation = { prompt: 0.9, output: 0.75 } as const;
+const limits = { promptFactor: 3.5, events: 51 } as const;
 const eventTokens = 6;
-/** Parts of a request's credit that do and do not depend on its size. */
-const creditParts = { fixed: 0.3, sized: 0.7 } as const;
-const answerTokenWeight = 10;
+/** Shares of a request's credit that are fixed and that scale with its size. */
+const creditWeights = { fixed: 0.3, sized: 0.7 } as const;
+const outputTokenWeight = 10;
 
-/** A positive number with a mean of 1, by the logarithmic normal distribution. */
+/** Draws from the log-normal distribution with a mean of 1. */
 function lognormal(random: Random, deviation: number): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   const normal = radius * Math.cos(2 * Math.PI * random.next());
   return Math.exp(normal * deviation - deviation ** 2 / 2);
 }
 
-function requestOf(kind: HeavyKind, id: string, arrivesAt: number, random: Random): HeavyRequest {
-  const promptFactor = Math.min(most.promptFactor, lognormal(random, spread.prompt));
+function drawRequest(kind: HeavyKind, id: string, arrivesAt: number, random: Random): HeavyRequest {
+  const promptFactor = Math.min(limits.promptFactor, lognormal(random, logDeviation.prompt));
   const promptTokens = Math.max(60, Math.round(kind.meanPromptTokens * promptFactor));
-  const drawn = Math.round(kind.meanEvents * lognormal(random, spread.answer));
-  const events = Math.max(1, Math.min(most.events, drawn));
-  const sizeOf = (prompt: number, count: number): number =>
-    prompt + answerTokenWeight * eventTokens * count;
-  const size = sizeOf(promptTokens, events) / sizeOf(kind.meanPromptTokens, kind.meanEvents);
-  const credit = kind.worth * (creditParts.fixed + creditParts.sized * size);
-  // Few workspaces send most requests.
+  const drawnEvents = Math.round(kind.meanEvents * lognormal(random, logDeviation.output));
+  const events = Math.max(1, Math.min(limits.events, drawnEvents));
+  const weightedSize = (prompt: number, count: number): number =>
+    prompt + outputTokenWeight * eventTokens * count;
+  const size =
+    weightedSize(promptTokens, events) / weightedSize(kind.meanPromptTokens, kind.meanEvents);
+  const credit = kind.meanCredit * (creditWeights.fixed + creditWeights.sized * size);
+  // The exponent makes a few workspaces send most of the requests.
   const workspace = `w${Math.floor(workspaces * random.next() ** 2.5)}`;
   return { id, kind, workspace, arrivesAt, promptTokens, events, credit };
 }
 
-/** Requests of all kinds over a time, in order of their arrival; `factor` times the sheet's rates. */
-export function heavyLoad(factor: number, seconds: number, random: Random): HeavyRequest[] {
+/** Draws Poisson arrivals of all kinds at `rateFactor` times their rates, sorted by arrival time. */
+export function drawHeavyLoad(rateFactor: number, seconds: number, random: Random): HeavyRequest[] {
   const requests = heavyKinds.flatMap((kind) => {
-    const found: HeavyRequest[] = [];
-    const meanMs = secondMs / (kind.perSecond * factor);
+    const drawn: HeavyRequest[] = [];
+    const meanMs = secondMs / (kind.perSecond * rateFactor);
     let at = 0;
     for (;;) {
       at -= Math.log(1 - random.next()) * meanMs;
-      if (at >= seconds * secondMs) return found;
-      found.push(requestOf(kind, `${kind.name}-${found.length}`, at, random));
+      if (at >= seconds * secondMs) return drawn;
+      drawn.push(drawRequest(kind, `${kind.name}-${drawn.length}`, at, random));
     }
   });
   return requests.sort((a, b) => a.arrivesAt - b.arrivesAt);
--- a/bench/src/heavyDays/virtualEngine.ts
+++ b/bench/src/heavyDays/virtualEngine.ts
@@ -2,7 +2,7 @@
 import type { EngineModel } from '@laburnumstream/decisions';
 
 /** A request at a simulated engine. */
-export interface EngineWork {
+export interface EngineRequest {
   readonly promptTokens: number;
   readonly events: number;
   /** Called with the monotonic time of each event. */
@@ -10,12 +10,15 @@
   readonly onEnd: () => void;
 }
 
-/** A model engine in virtual time: each pass reads the new prompts and writes an event of each request. */
+/**
+ * A model engine with continuous batching in virtual time: each pass prefills the newly admitted
+ * prompts and emits one event of every running request.
+ */
 export class VirtualEngine {
-  private readonly queue: EngineWork[] = [];
+  private readonly queue: EngineRequest[] = [];
 
-  /** Events that each running request still has to write. */
-  private readonly running = new Map<EngineWork, number>();
+  /** Remaining events of each running request. */
+  private readonly running = new Map<EngineRequest, number>();
 
   private isBusy = false;
 
@@ -28,33 +31,36 @@
     return { running: this.running.size, waiting: this.queue.length, pace: 1 };
   }
 
-  send(work: EngineWork): void {
-    this.queue.push(work);
-    if (!this.isBusy) void this.work();
+  send(request: EngineRequest): void {
+    this.queue.push(request);
+    if (!this.isBusy) void this.run();
   }
 
-  private async work(): Promise<void> {
+  private async run(): Promise<void> {
     this.isBusy = true;
     while (this.queue.length + this.running.size > 0) {
-      const fresh = this.queue.splice(0, this.model.slots - this.running.size);
-      fresh.forEach((work) => this.running.set(work, work.events));
-      const readMs = fresh.reduce((sum, work) => sum + this.model.readMs(work.promptTokens), 0);
+      const admitted = this.queue.splice(0, this.model.slots - this.running.size);
+      admitted.forEach((request) => this.running.set(request, request.events));
+      const readMs = admitted.reduce(
+        (sum, request) => sum + this.model.readMs(request.promptTokens),
+        0,
+      );
       await this.clock.sleep(readMs + this.model.passMs(this.running.size));
-      this.pass();
+      this.emitEvents();
     }
     this.isBusy = false;
   }
 
-  private pass(): void {
+  private emitEvents(): void {
     const now = this.clock.now();
-    this.running.forEach((left, work) => {
-      work.onEvent(now);
-      if (left > 1) {
-        this.running.set(work, left - 1);
+    this.running.forEach((remaining, request) => {
+      request.onEvent(now);
+      if (remaining > 1) {
+        this.running.set(request, remaining - 1);
         return;
       }
-      this.running.delete(work);
-      work.onEnd();
+      this.running.delete(request);
+      request.onEnd();
     });
   }
 }
--- a/bench/src/heavyDays/ways.ts
+++ b/bench/src/heavyDays/ways.ts
@@ -4,27 +4,27 @@
 import type { EndpointChoice } from '@laburnumstream/forwarding';
 import type { HeavyRequest } from './heavyLoad.js';
 
-/** What one entry decides: to which engine a request goes. */
-export interface EntryDecision {
-  /** Resolves with the number of an engine; rejects with `Unavailable` and a time to come back. */
+/** Selects an engine for each request of one entry. */
+export interface EntryAdmission {
+  /** Resolves with the index of an engine; rejects with `Unavailable` and a retry delay. */
   place(request: HeavyRequest, isReturned: boolean, signal: AbortSignal): Promise<number>;
-  /** A request that was sent there has shown its first event. */
-  wasRead(engine: number, request: HeavyRequest): void;
-  ended(engine: number): void;
+  /** Called on the first event of a dispatched request. */
+  onFirstEvent(engine: number, request: HeavyRequest): void;
+  onEnd(engine: number): void;
 }
 
-/** A way of admission, as one entry follows it. */
-export interface Way {
-  readonly entry: EntryDecision;
-  /** The handles that reports and other entries' loads go to; none for ways that use neither. */
+/** An admission policy, as instantiated for one entry. */
+export interface AdmissionPolicy {
+  readonly entry: EntryAdmission;
+  /** Receive load reports and the loads of other entries; empty for policies that use neither. */
   readonly handles: readonly EndpointHandle[];
 }
 
-/** What all ways are made of. */
-export interface WayParts {
+/** Parameters of an admission policy. */
+export interface PolicyOptions {
   readonly engines: number;
   readonly entries: number;
-  /** Number of this entry. */
+  /** Index of this entry. */
   readonly entry: number;
   readonly regions: number;
   readonly profile: ServiceProfile;
@@ -34,28 +34,28 @@
 
 const service = 'model';
 const timeoutMs = 6_000;
-/** Share of each engine's slots that an entry takes at most under a bare cap. */
-const capReturnMs = { least: 600, spread: 1_000 } as const;
+/** Retry delay of a request that the cap refused: the minimum, and the range of the random part. */
+const capRetryMs = { min: 600, range: 1_000 } as const;
 
-const quiet: Log = {
+const silentLog: Log = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
-const uncounted: Metrics = {
+const noMetrics: Metrics = {
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
   sample: () => undefined,
 };
 
-/** Region of an engine or entry: they are dealt out in turn. */
-export function regionOf(index: number, regions: number): number {
+/** Region of an engine or entry, assigned round-robin. */
+export function getRegion(index: number, regions: number): number {
   return index % regions;
 }
 
-function endpointOf(engine: number, profile: ServiceProfile): Endpoint {
+function makeEndpoint(engine: number, profile: ServiceProfile): Endpoint {
   return {
     id: `engine-${engine}`,
     bornAt: 1,
@@ -69,16 +69,16 @@
   };
 }
 
-/** The product's own decisions: the line, the placement and the loads of `packages/forwarding`. */
-export function ownWay(parts: WayParts): Way {
-  const { engines, entries, entry, regions, profile, clock, random } = parts;
-  const region = regionOf(entry, regions);
+/** The product's policy: queue, placement and load tracking of `packages/forwarding`. */
+export function makeProductPolicy(options: PolicyOptions): AdmissionPolicy {
+  const { engines, entries, entry, regions, profile, clock, random } = options;
+  const region = getRegion(entry, regions);
   const handles = Array.from({ length: engines }, (_, engine) => {
-    const isNear = regionOf(engine, regions) === region;
-    const near = Math.ceil((entries - regionOf(engine, regions)) / regions);
+    const isNear = getRegion(engine, regions) === region;
+    const near = Math.ceil((entries - getRegion(engine, regions)) / regions);
     const peers = (): number => (isNear ? near - 1 : near);
-    const endpoint = endpointOf(engine, profile);
-    return new EndpointHandle(endpoint, profile, isNear, '', clock, uncounted, peers, 0);
+    const endpoint = makeEndpoint(engine, profile);
+    return new EndpointHandle(endpoint, profile, isNear, '', clock, noMetrics, peers, 0);
   });
   const hasRoom = (handle: EndpointHandle): boolean =>
     handle.load.hasRoom({ ...roomLimits, slots: handle.slots }, clock.now());
@@ -87,7 +87,7 @@
     usable: () => handles.filter(hasRoom),
     canServe: () => true,
   };
-  const line = new DispatchLine(choice, clock, random, uncounted, quiet);
+  const line = new DispatchLine(choice, clock, random, noMetrics, silentLog);
   const model = handles[0]!.model!;
   return {
     handles,
@@ -115,8 +115,9 @@
         target.load.start(model.readMs(promptTokens));
         return handles.indexOf(target);
       },
-      wasRead: (engine, { promptTokens }) => handles[engine]!.load.read(model.readMs(promptTokens)),
-      ended: (engine) => {
+      onFirstEvent: (engine, { promptTokens }) =>
+        handles[engine]!.load.read(model.readMs(promptTokens)),
+      onEnd: (engine) => {
         handles[engine]!.load.end();
         line.look(service);
       },
@@ -124,36 +125,43 @@
   };
 }
 
-/** Sends each request to the engine with the fewest of this entry's requests, up to a cap. */
-function countingWay({ engines, random }: WayParts, cap: number): Way {
-  const own = new Array<number>(engines).fill(0);
+/** Picks the engine with the fewest outstanding requests of this entry, up to a cap per engine. */
+function makeLeastRequestsPolicy({ engines, random }: PolicyOptions, cap: number): AdmissionPolicy {
+  const outstanding = new Array<number>(engines).fill(0);
   return {
     handles: [],
     entry: {
       place() {
-        const fewest = Math.min(...own);
+        const fewest = Math.min(...outstanding);
         if (fewest >= cap) {
-          const afterMs = capReturnMs.least + random.next() * capReturnMs.spread;
+          const afterMs = capRetryMs.min + random.next() * capRetryMs.range;
           return Promise.reject(new Unavailable('The cap is reached.', afterMs));
         }
-        const open = own.flatMap((count, engine) => (count === fewest ? [engine] : []));
-        const engine = open[Math.floor(random.next() * open.length)];
+        const candidates = outstanding.flatMap((count, engine) =>
+          count === fewest ? [engine] : [],
+        );
+        const engine = candidates[Math.floor(random.next() * candidates.length)];
         if (engine === undefined) throw new Failure('no_engine', 'There are no engines.');
-        own[engine]! += 1;
+        outstanding[engine]! += 1;
         return Promise.resolve(engine);
       },
-      wasRead: () => undefined,
-      ended: (engine) => {
-        own[engine]! -= 1;
+      onFirstEvent: () => undefined,
+      onEnd: (engine) => {
+        outstanding[engine]! -= 1;
       },
     },
   };
 }
 
-/** All ways that are compared, by name. */
-export const ways: Readonly<Record<string, (parts: WayParts) => Way>> = {
-  'first-come': (parts) => countingWay(parts, Infinity),
-  'bare-cap': (parts) =>
-    countingWay(parts, Math.max(1, Math.round(parts.profile.engine!.slots / parts.entries))),
-  own: ownWay,
+/** The compared admission policies by name. */
+export const admissionPolicies: Readonly<
+  Record<string, (options: PolicyOptions) => AdmissionPolicy>
+> = {
+  'first-come': (options) => makeLeastRequestsPolicy(options, Infinity),
+  'bare-cap': (options) =>
+    makeLeastRequestsPolicy(
+      options,
+      Math.max(1, Math.round(options.profile.engine!.slots / options.entries)),
+    ),
+  own: makeProductPolicy,
 };
--- a/bench/src/histories/history.ts
+++ b/bench/src/histories/history.ts
@@ -1,8 +1,8 @@
-/** What a request of a history may do. */
+/** How often a request of a history may be executed and sent. */
 export const RequestKind = {
-  /** Non-idempotent with a key; may be sent again. */
+  /** Non-idempotent with an idempotency key; may be retried. */
   keyed: 'keyed',
-  /** Non-idempotent without a key; sent once. */
+  /** Non-idempotent without a key; sent only once. */
   unkeyed: 'unkeyed',
   idempotent: 'idempotent',
 } as const;
@@ -35,56 +35,61 @@
       readonly at: number;
     };
 
-/** What happened to one request. */
+/** All events of one request. */
 export interface RequestHistory {
   readonly request: string;
   readonly kind: RequestKind;
   readonly events: readonly HistoryEvent[];
 }
 
-/** What a checker found in a history. */
+/** Results of checking a history. */
 export interface Verdicts {
   readonly mostRuns: number;
   readonly falseNotRun: number;
   readonly lostOrCrossed: number;
-  /** Requests with an answer and all requests, by kind. */
+  /** Answered requests and all requests, by kind. */
   readonly answered: Readonly<Record<RequestKind, number>>;
   readonly requests: Readonly<Record<RequestKind, number>>;
 }
 
-function eventsOf<Kind extends HistoryEvent['kind']>(
+function filterEvents<Kind extends HistoryEvent['kind']>(
   { events }: RequestHistory,
   kind: Kind,
 ): Extract<HistoryEvent, { kind: Kind }>[] {
   return events.filter((event) => event.kind === kind) as never;
 }
 
-/** Runs of a request that may run once; those of idempotent requests do not count. */
-function countedRuns(history: RequestHistory): number {
-  return history.kind === RequestKind.idempotent ? 0 : eventsOf(history, 'run').length;
+/** Counts the runs of a non-idempotent request; 0 for idempotent ones, which may run repeatedly. */
+function countNonIdempotentRuns(history: RequestHistory): number {
+  return history.kind === RequestKind.idempotent ? 0 : filterEvents(history, 'run').length;
 }
 
-/** A refusal is false when the request had run, or ran later though no other copy could run it. */
-function falseRefusals(history: RequestHistory): number {
-  const runs = eventsOf(history, 'run');
-  const invocations = eventsOf(history, 'invoke');
-  const ends = [...eventsOf(history, 'reply'), ...eventsOf(history, 'refuse')];
-  const endOf = (copy: string): number =>
+/**
+ * Counts refusals marked `not run` that are false: the request had run already, or it ran later
+ * although no other copy was outstanding.
+ */
+function countFalseRefusals(history: RequestHistory): number {
+  const runs = filterEvents(history, 'run');
+  const invocations = filterEvents(history, 'invoke');
+  const ends = [...filterEvents(history, 'reply'), ...filterEvents(history, 'refuse')];
+  const endTime = (copy: string): number =>
     ends.find((event) => event.copy === copy)?.at ?? Number.POSITIVE_INFINITY;
-  return eventsOf(history, 'refuse').filter(({ execution, copy, at }) => {
+  return filterEvents(history, 'refuse').filter(({ execution, copy, at }) => {
     if (execution !== 'not run') return false;
-    const others = invocations.some((other) => other.copy !== copy && endOf(other.copy) > at);
-    return runs.some((run) => run.at < at || !others);
+    const hasOtherCopy = invocations.some(
+      (invocation) => invocation.copy !== copy && endTime(invocation.copy) > at,
+    );
+    return runs.some((run) => run.at < at || !hasOtherCopy);
   }).length;
 }
 
-/** Answers that are another request's or differ, and copies that never got any answer. */
+/** Counts replies with another body than the request's own, and copies without any outcome. */
 function lostOrCrossed(history: RequestHistory): number {
-  const replies = eventsOf(history, 'reply');
-  const ended = new Set([...replies, ...eventsOf(history, 'refuse')].map(({ copy }) => copy));
-  const lost = eventsOf(history, 'invoke').filter(({ copy }) => !ended.has(copy)).length;
-  const own = `done ${history.request}`;
-  return lost + replies.filter(({ body }) => body !== own).length;
+  const replies = filterEvents(history, 'reply');
+  const ended = new Set([...replies, ...filterEvents(history, 'refuse')].map(({ copy }) => copy));
+  const lost = filterEvents(history, 'invoke').filter(({ copy }) => !ended.has(copy)).length;
+  const expected = `done ${history.request}`;
+  return lost + replies.filter(({ body }) => body !== expected).length;
 }
 
 function sum(values: readonly number[]): number {
@@ -103,10 +108,10 @@
 /** Checks the histories of all requests of one run. */
 export function checkHistories(histories: readonly RequestHistory[]): Verdicts {
   return {
-    mostRuns: Math.max(0, ...histories.map(countedRuns)),
-    falseNotRun: sum(histories.map(falseRefusals)),
+    mostRuns: Math.max(0, ...histories.map(countNonIdempotentRuns)),
+    falseNotRun: sum(histories.map(countFalseRefusals)),
     lostOrCrossed: sum(histories.map(lostOrCrossed)),
-    answered: countByKind(histories.filter((each) => eventsOf(each, 'reply').length > 0)),
+    answered: countByKind(histories.filter((each) => filterEvents(each, 'reply').length > 0)),
     requests: countByKind(histories),
   };
 }
--- a/bench/src/histories/host.ts
+++ b/bench/src/histories/host.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '@laburnumstream/common';
 import type { VirtualClock } from './virtualClock.js';
 
-// The executor keeps no resolver: a dead process gets nothing more.
+// Never settles, so code of a dead process does not continue.
 const never = new Promise<void>((resolve) => {
   void resolve;
 });
 
-/** A process of a history: may die or freeze; nothing reaches it meanwhile. */
+/** A simulated process that can be killed or frozen; it makes no progress in that state. */
 export class Host implements Clock {
   private dead = false;
 
@@ -39,24 +39,24 @@
 
   async sleep(ms: number, signal?: AbortSignal): Promise<void> {
     await this.clock.sleep(ms, signal);
-    await this.awake();
+    await this.whenRunning();
   }
 
-  /** Resolves when the process runs; never when it is dead. */
-  async awake(): Promise<void> {
+  /** Resolves as soon as the process is not frozen; never when it is dead. */
+  async whenRunning(): Promise<void> {
     if (this.dead) await never;
-    const leftMs = this.frozenUntil - this.clock.now();
-    if (leftMs <= 0) return;
-    await this.clock.sleep(leftMs);
-    await this.awake();
+    const remainingMs = this.frozenUntil - this.clock.now();
+    if (remainingMs <= 0) return;
+    await this.clock.sleep(remainingMs);
+    await this.whenRunning();
   }
 
-  /** Hands a result of the outside world to the process. */
+  /** Delivers an external result to the process once it runs. */
   async receive<Result>(result: Promise<Result>): Promise<Result> {
     try {
       return await result;
     } finally {
-      await this.awake();
+      await this.whenRunning();
     }
   }
 }
--- a/bench/src/histories/memoryNetwork.ts
+++ b/bench/src/histories/memoryNetwork.ts
@@ -10,14 +10,14 @@
 import type { Host } from './host.js';
 import type { VirtualClock } from './virtualClock.js';
 
-const spreadMs = 4;
-/** Longest delay of a request that is still delivered after its connection was given up. */
-const lateMs = 8_000;
-const doubledShare = 0.1;
-const strangerShare = 0.1;
-const refusedRetryMs = 200;
+const maxLatencyMs = 4;
+/** Longest delay after which a request is delivered although its connection is already closed. */
+const maxLateMs = 8_000;
+const duplicatedShare = 0.1;
+const misroutedShare = 0.1;
+const retryAfterMs = 200;
 
-/** An agent as the network reaches it. */
+/** An agent that is reachable over the network. */
 export interface NetworkAgent {
   readonly host: Host;
   readonly handler: RunHandler;
@@ -25,12 +25,12 @@
 
 /** One connection between an entry and an agent. */
 interface Connection {
-  /** Passes nothing on, without a sign of it. */
+  /** Silently drops all frames. */
   silent: boolean;
   readonly broken: AbortController;
 }
 
-/** Connections between entries and agents that break, go silent, double and mix up frames. */
+/** Connections between entries and agents that break, go silent, duplicate and misroute frames. */
 export class MemoryNetwork {
   private readonly connections = new Map<string, Connection>();
 
@@ -42,7 +42,7 @@
     private readonly agents: ReadonlyMap<string, NetworkAgent>,
   ) {}
 
-  /** The network as one entry uses it. */
+  /** Returns the transport of one entry. */
   from(entry: Host): RunTransport {
     return {
       run: (address, message, signal) => this.run(entry, address, message, signal),
@@ -63,14 +63,14 @@
     const key = `${entry}>${address}`;
     const known = this.connections.get(key);
     if (known) return known;
-    const made = { silent: false, broken: new AbortController() };
-    setMaxListeners(0, made.broken.signal);
-    this.connections.set(key, made);
-    return made;
+    const created = { silent: false, broken: new AbortController() };
+    setMaxListeners(0, created.broken.signal);
+    this.connections.set(key, created);
+    return created;
   }
 
   private latencyMs(): number {
-    return this.random.next() * spreadMs;
+    return this.random.next() * maxLatencyMs;
   }
 
   private async *run(
@@ -82,7 +82,7 @@
     const agent = this.agents.get(address)!;
     const connection = this.connection(entry.name, address);
     await entry.receive(this.clock.sleep(this.latencyMs()));
-    if (!agent.host.isAlive) throw new Unavailable('Connection refused.', refusedRetryMs);
+    if (!agent.host.isAlive) throw new Unavailable('Connection refused.', retryAfterMs);
     const frames = new AsyncQueue<RunFrame>();
     const reader = new AbortController();
     const end = (error: Aborted | LinkLost): void => {
@@ -104,7 +104,7 @@
     }
   }
 
-  /** A request may wait in a buffer and come to the agent long after its entry gave it up. */
+  /** A request on a broken connection may stay buffered and arrive long after the entry gave up. */
   private async deliver(
     { host, handler }: NetworkAgent,
     connection: Connection,
@@ -112,21 +112,21 @@
     frames: AsyncQueue<RunFrame>,
     signal: AbortSignal,
   ): Promise<void> {
-    const stuck = connection.silent || connection.broken.signal.aborted;
-    await this.clock.sleep(stuck ? this.random.next() * lateMs : this.latencyMs());
-    await host.awake();
+    const isDelayed = connection.silent || connection.broken.signal.aborted;
+    await this.clock.sleep(isDelayed ? this.random.next() * maxLateMs : this.latencyMs());
+    await host.whenRunning();
     for await (const frame of handler.run(create(RunRequestSchema, message), signal)) {
       await this.clock.sleep(this.latencyMs());
-      await host.awake();
+      await host.whenRunning();
       if (!connection.silent) this.push(frame, frames);
     }
   }
 
   private push(frame: RunFrame, frames: AsyncQueue<RunFrame>): void {
-    const stranger = this.lastFrame;
-    if (stranger && this.random.next() < strangerShare) frames.push(stranger);
+    const foreignFrame = this.lastFrame;
+    if (foreignFrame && this.random.next() < misroutedShare) frames.push(foreignFrame);
     frames.push(frame);
-    if (this.random.next() < doubledShare) frames.push(frame);
+    if (this.random.next() < duplicatedShare) frames.push(frame);
     this.lastFrame = frame;
   }
 }
--- a/bench/src/histories/memoryStore.ts
+++ b/bench/src/histories/memoryStore.ts
@@ -2,23 +2,23 @@
 import type { Random, StoredValue, WriteCondition } from '@laburnumstream/common';
 import type { VirtualClock } from './virtualClock.js';
 
-const fastestMs = 1;
-const spreadMs = 8;
+const minLatencyMs = 1;
+const latencyRangeMs = 8;
 
 /** The state and faults of the key-value service in a history. */
 export class MemoryStore {
   readonly values = new Map<string, StoredValue>();
 
-  down = false;
+  isDown = false;
 
-  /** Share of calls that take effect but whose answer is lost. */
-  loseAnswers = 0;
+  /** Share of calls that take effect but whose response is lost. */
+  lostResponseShare = 0;
 
   calls = 0;
 
   private revision = 0;
 
-  /** `ignoresConditions` plants a fault: every write succeeds. */
+  /** `ignoresConditions` injects a fault: every write succeeds. */
   constructor(
     readonly clock: VirtualClock,
     readonly random: Random,
@@ -26,8 +26,8 @@
   ) {}
 
   put(key: string, value: string, { ifRevision }: WriteCondition): number {
-    const present = this.values.get(key)?.revision ?? 0;
-    const conflicts = ifRevision !== undefined && ifRevision !== present;
+    const currentRevision = this.values.get(key)?.revision ?? 0;
+    const conflicts = ifRevision !== undefined && ifRevision !== currentRevision;
     if (conflicts && !this.ignoresConditions) throw new Conflict('The value changed.');
     this.revision += 1;
     this.values.set(key, { key, value, revision: this.revision });
@@ -35,6 +35,6 @@
   }
 
   latencyMs(): number {
-    return fastestMs + this.random.next() * spreadMs;
+    return minLatencyMs + this.random.next() * latencyRangeMs;
   }
 }
--- a/bench/src/histories/memoryStorePort.ts
+++ b/bench/src/histories/memoryStorePort.ts
@@ -3,10 +3,10 @@
 import type { Host } from './host.js';
 import type { MemoryStore } from './memoryStore.js';
 
-const lostAnswerMs = 50;
+const lostResponseDelayMs = 50;
 
-/** The store as one process reaches it: each call takes time, may fail and may lose its answer. */
-export class MemoryStorePort implements KeyValueStore {
+/** The store client of one process: each call takes time, may fail and may lose its response. */
+export class MemoryStoreClient implements KeyValueStore {
   constructor(
     private readonly store: MemoryStore,
     private readonly host: Host,
@@ -53,21 +53,21 @@
     const aborted = new Promise<never>((_, reject) => {
       signal?.addEventListener('abort', () => reject(new Aborted()), { once: true });
     });
-    const result = this.answer(effect);
+    const result = this.execute(effect);
     result.catch(() => undefined);
     return this.host.receive(Promise.race([result, aborted]));
   }
 
-  /** The effect comes although the caller may have given up by then. */
-  private async answer<Result>(effect: () => Result): Promise<Result> {
+  /** Applies the effect even if the caller has given up by then. */
+  private async execute<Result>(effect: () => Result): Promise<Result> {
     const { store } = this;
     store.calls += 1;
     await store.clock.sleep(store.latencyMs());
-    if (store.down) throw new StoreUnavailable('The store is down.');
-    const loses = store.random.next() < store.loseAnswers;
+    if (store.isDown) throw new StoreUnavailable('The store is down.');
+    const losesResponse = store.random.next() < store.lostResponseShare;
     const result = effect();
-    await store.clock.sleep(loses ? lostAnswerMs : store.latencyMs());
-    if (loses) throw new StoreUnavailable('The answer was lost.');
+    await store.clock.sleep(losesResponse ? lostResponseDelayMs : store.latencyMs());
+    if (losesResponse) throw new StoreUnavailable('The response was lost.');
     return result;
   }
 }
--- a/bench/src/histories/plainService.ts
+++ b/bench/src/histories/plainService.ts
@@ -9,21 +9,21 @@
 import type { Host } from './host.js';
 import type { VirtualClock } from './virtualClock.js';
 
-const arrivalMs = 3;
-const workMs = 40;
-const lostShare = 0.1;
+const maxArrivalMs = 3;
+const maxRunMs = 40;
+const faultShare = 0.1;
 const retryAfterMs = 100;
 
-/** What goes wrong at a plain service in a history. */
+/** Faults of a plain service in a history. */
 export interface ServiceFaults {
-  readonly losesAnswers: boolean;
-  /** Planted: runs calls and then says that it did not. */
-  readonly lies: boolean;
-  /** Planted: answers with the answer of the call before. */
-  readonly crosses: boolean;
+  readonly losesResponses: boolean;
+  /** Injected: runs calls and reports that they did not run. */
+  readonly reportsFalseNotRun: boolean;
+  /** Injected: returns the response of the previous call. */
+  readonly returnsPreviousResponse: boolean;
 }
 
-/** A plain service in a history: notes each run and sometimes loses its answer. */
+/** A plain service in a history: reports each run and sometimes loses its response. */
 export class HistoryService implements PlainService {
   private lastRequest = '';
 
@@ -39,7 +39,7 @@
     const aborted = new Promise<never>((_, reject) => {
       signal.addEventListener('abort', () => reject(new Aborted()), { once: true });
     });
-    const result = this.work(body);
+    const result = this.execute(body);
     result.catch(() => undefined);
     return this.host.receive(Promise.race([result, aborted]));
   }
@@ -49,17 +49,18 @@
     return this.host.receive(Promise.resolve({ ...idle, weights: '', adapters: [], role: '' }));
   }
 
-  /** Goes on although its agent may die meanwhile. */
-  private async work(request: string): Promise<PlainAnswer> {
-    await this.clock.sleep(this.random.next() * arrivalMs);
+  /** Continues even if the agent dies meanwhile. */
+  private async execute(request: string): Promise<PlainAnswer> {
+    await this.clock.sleep(this.random.next() * maxArrivalMs);
     this.onRun(request);
-    await this.clock.sleep(this.random.next() * workMs);
-    if (this.faults.lies && this.random.next() < lostShare)
+    await this.clock.sleep(this.random.next() * maxRunMs);
+    if (this.faults.reportsFalseNotRun && this.random.next() < faultShare)
       throw new Unavailable('Not run.', retryAfterMs);
-    const loses = this.faults.losesAnswers && this.random.next() < lostShare;
-    if (loses) throw new OutcomeUnknown('The answer was lost.');
-    const answered = this.faults.crosses && this.lastRequest ? this.lastRequest : request;
+    const losesResponse = this.faults.losesResponses && this.random.next() < faultShare;
+    if (losesResponse) throw new OutcomeUnknown('The response was lost.');
+    const answeredRequest =
+      this.faults.returnsPreviousResponse && this.lastRequest ? this.lastRequest : request;
     this.lastRequest = request;
-    return { status: 200, body: `done ${answered}` };
+    return { status: 200, body: `done ${answeredRequest}` };
   }
 }
--- a/bench/src/histories/simulation.ts
+++ b/bench/src/histories/simulation.ts
@@ -2,9 +2,9 @@
 import { RequestKind, checkHistories } from './history.js';
 import type { Verdicts } from './history.js';
 import { World } from './world.js';
-import type { Plant } from './world.js';
+import type { PlantedFault } from './world.js';
 
-/** What goes wrong at one moment of a history. */
+/** Faults that are injected into a history. */
 export const FaultKind = {
   killAgent: 'killAgent',
   freezeAgent: 'freezeAgent',
@@ -20,117 +20,129 @@
 /** One of the values of {@link FaultKind}. */
 export type FaultKind = (typeof FaultKind)[keyof typeof FaultKind];
 
-/** A fault at a time and place. */
+/** A scheduled fault. Fields that its kind does not use are ignored. */
 export interface HistoryFault {
   readonly kind: FaultKind;
   readonly atMs: number;
   readonly agent: number;
   readonly entry: number;
-  readonly lengthMs: number;
+  readonly durationMs: number;
 }
 
-/** One request of a history, with its copies. */
+/** One request of a history. */
 export interface HistoryRequest {
   readonly kind: RequestKind;
   readonly atMs: number;
   readonly entry: number;
-  /** Whether a second copy is sent before the first has ended. */
-  readonly hasty: boolean;
+  /** Whether a second copy is sent while the first may be outstanding. */
+  readonly sendsConcurrentCopy: boolean;
 }
 
-/** All that is chosen for one history. */
+/** The seed, faults and requests of one history. */
 export interface HistoryPlan {
   readonly seed: number;
   readonly faults: readonly HistoryFault[];
   readonly requests: readonly HistoryRequest[];
-  /** Without refusals and lost answers besides the faults. */
-  readonly calm?: boolean;
+  /** Disables random refusals and lost responses, so that only `faults` occur. */
+  readonly onlyPlannedFaults?: boolean;
 }
 
-/** What came of a history. */
+/** Results of a history. */
 export interface HistoryResult extends Verdicts {
   readonly storeCalls: number;
 }
 
-const horizonMs = 60_000;
-const activeMs = 2_000;
-const hastyMs = 30;
-const mostCopies = 4;
-const copyPauseMs = 100;
+const runMs = 60_000;
+const activityMs = 2_000;
+const concurrentCopyDelayMs = 30;
+const maxCopies = 4;
+const copyDelayMs = 100;
 
-type Act = (world: World, fault: HistoryFault) => void;
+type FaultAction = (world: World, fault: HistoryFault) => void;
 
-function agentOf(world: World, { agent }: HistoryFault) {
+function getAgentHost(world: World, { agent }: HistoryFault) {
   const agents = [...world.agents.values()];
   return agents[agent % agents.length]!.host;
 }
 
-function entryOf(world: World, { entry }: HistoryFault) {
+function getEntryHost(world: World, { entry }: HistoryFault) {
   return world.entries[entry % world.entries.length]!.host;
 }
 
-const acts: Readonly<Record<FaultKind, Act>> = {
-  killAgent: (world, fault) => agentOf(world, fault).kill(),
-  freezeAgent: (world, fault) => agentOf(world, fault).freeze(fault.lengthMs),
-  killEntry: (world, fault) => entryOf(world, fault).kill(),
-  freezeEntry: (world, fault) => entryOf(world, fault).freeze(fault.lengthMs),
+const faultActions: Readonly<Record<FaultKind, FaultAction>> = {
+  killAgent: (world, fault) => getAgentHost(world, fault).kill(),
+  freezeAgent: (world, fault) => getAgentHost(world, fault).freeze(fault.durationMs),
+  killEntry: (world, fault) => getEntryHost(world, fault).kill(),
+  freezeEntry: (world, fault) => getEntryHost(world, fault).freeze(fault.durationMs),
   cutLink: (world, fault) =>
-    world.network.cut(entryOf(world, fault).name, agentOf(world, fault).name),
+    world.network.cut(getEntryHost(world, fault).name, getAgentHost(world, fault).name),
   silenceLink: (world, fault) =>
-    world.network.silence(entryOf(world, fault).name, agentOf(world, fault).name),
-  storeDown: ({ store }) => Object.assign(store, { down: true }),
-  storeUp: ({ store }) => Object.assign(store, { down: false }),
-  loseAnswers: ({ store, clock }, { lengthMs }) => {
-    Object.assign(store, { loseAnswers: 0.5 });
-    clock.at(lengthMs, () => Object.assign(store, { loseAnswers: 0 }));
+    world.network.silence(getEntryHost(world, fault).name, getAgentHost(world, fault).name),
+  storeDown: ({ store }) => Object.assign(store, { isDown: true }),
+  storeUp: ({ store }) => Object.assign(store, { isDown: false }),
+  loseAnswers: ({ store, clock }, { durationMs }) => {
+    Object.assign(store, { lostResponseShare: 0.5 });
+    clock.at(durationMs, () => Object.assign(store, { lostResponseShare: 0 }));
   },
 };
 
-/** A caller that sends a request with a key again, through another entry, until it is answered. */
-async function call(world: World, name: string, request: HistoryRequest): Promise<void> {
-  const { kind, entry, hasty } = request;
-  const copies = kind === RequestKind.keyed ? mostCopies : 1;
-  if (hasty && copies > 1) {
-    world.clock.at(hastyMs, () => void world.submit(kind, name, entry + 1));
+/** Sends a request; retries a keyed one through the other entries until it is answered. */
+async function sendUntilAnswered(
+  world: World,
+  name: string,
+  request: HistoryRequest,
+): Promise<void> {
+  const { kind, entry, sendsConcurrentCopy } = request;
+  const copies = kind === RequestKind.keyed ? maxCopies : 1;
+  if (sendsConcurrentCopy && copies > 1) {
+    world.clock.at(concurrentCopyDelayMs, () => void world.submit(kind, name, entry + 1));
   }
   for (let copy = 0; copy < copies; copy += 1) {
     if (await world.submit(kind, name, entry + copy)) return;
-    await world.clock.sleep(copyPauseMs);
+    await world.clock.sleep(copyDelayMs);
   }
 }
 
-/** Runs one history in virtual time and checks it. */
-export async function runHistory(plan: HistoryPlan, plant?: Plant): Promise<HistoryResult> {
-  const world = new World(plan.seed, plant, plan.calm);
+/** Runs a history in virtual time and checks it. */
+export async function runHistory(
+  plan: HistoryPlan,
+  plantedFault?: PlantedFault,
+): Promise<HistoryResult> {
+  const world = new World(plan.seed, plantedFault, plan.onlyPlannedFaults);
   plan.faults.forEach((fault) => {
-    world.clock.at(fault.atMs, () => acts[fault.kind](world, fault));
+    world.clock.at(fault.atMs, () => faultActions[fault.kind](world, fault));
   });
   plan.requests.forEach((request, index) => {
-    world.clock.at(request.atMs, () => void call(world, `request-${index}`, request));
+    world.clock.at(request.atMs, () => void sendUntilAnswered(world, `request-${index}`, request));
   });
-  await world.clock.run(horizonMs);
+  await world.clock.run(runMs);
   return { ...checkHistories(world.results), storeCalls: world.store.calls };
 }
 
-const kinds = [RequestKind.keyed, RequestKind.keyed, RequestKind.unkeyed, RequestKind.idempotent];
+const drawnKinds = [
+  RequestKind.keyed,
+  RequestKind.keyed,
+  RequestKind.unkeyed,
+  RequestKind.idempotent,
+];
 
-/** A plan drawn from a seed. */
+/** Draws a plan from a seed. */
 export function drawPlan(seed: number, faultCount: number, requestCount: number): HistoryPlan {
   const random = new SeededRandom(seed);
   const below = (limit: number): number => Math.floor(random.next() * limit);
   const faultKinds = Object.values(FaultKind);
   const faults = Array.from({ length: faultCount }, () => ({
     kind: faultKinds[below(faultKinds.length)]!,
-    atMs: below(activeMs),
+    atMs: below(activityMs),
     agent: below(3),
     entry: below(2),
-    lengthMs: below(10_000),
+    durationMs: below(10_000),
   }));
   const requests = Array.from({ length: requestCount }, () => ({
-    kind: kinds[below(kinds.length)]!,
-    atMs: below(activeMs),
+    kind: drawnKinds[below(drawnKinds.length)]!,
+    atMs: below(activityMs),
     entry: below(2),
-    hasty: random.next() < 0.3,
+    sendsConcurrentCopy: random.next() < 0.3,
   }));
   return { seed, faults, requests };
 }
--- a/bench/src/histories/virtualClock.ts
+++ b/bench/src/histories/virtualClock.ts
@@ -8,13 +8,13 @@
   readonly fire: () => void;
 }
 
-/** Time that moves only when everything at the present moment has been done. */
+/** Virtual time that advances only after all work at the current time is done. */
 export class VirtualClock implements Clock {
   private timers: Timer[] = [];
 
   private time = 0;
 
-  private added = 0;
+  private createdCount = 0;
 
   now(): number {
     return this.time;
@@ -24,10 +24,14 @@
     return this.time;
   }
 
-  /** Whole milliseconds only, so that a rest of a wait cannot vanish in rounding. */
+  /** Rounds up to whole milliseconds, so that a remaining wait cannot vanish in rounding. */
   at(ms: number, fire: () => void): void {
-    this.added += 1;
-    this.timers.push({ at: this.time + Math.ceil(Math.max(0, ms)), order: this.added, fire });
+    this.createdCount += 1;
+    this.timers.push({
+      at: this.time + Math.ceil(Math.max(0, ms)),
+      order: this.createdCount,
+      fire,
+    });
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
@@ -36,10 +40,10 @@
         reject(new Aborted());
         return;
       }
-      const stop = (): void => reject(new Aborted());
-      signal?.addEventListener('abort', stop, { once: true });
+      const onAbort = (): void => reject(new Aborted());
+      signal?.addEventListener('abort', onAbort, { once: true });
       this.at(ms, () => {
-        signal?.removeEventListener('abort', stop);
+        signal?.removeEventListener('abort', onAbort);
         resolve();
       });
     });
@@ -49,7 +53,7 @@
   async run(endMs: number): Promise<void> {
     await flush();
     for (;;) {
-      const next = this.takeNext();
+      const next = this.popNext();
       if (!next || next.at > endMs) return;
       this.time = Math.max(this.time, next.at);
       next.fire();
@@ -57,11 +61,11 @@
     }
   }
 
-  private takeNext(): Timer | undefined {
+  private popNext(): Timer | undefined {
     let first: Timer | undefined;
     this.timers.forEach((timer) => {
-      const earlier = !first || timer.at < first.at;
-      if (earlier || (timer.at === first!.at && timer.order < first!.order)) first = timer;
+      const isEarlier = !first || timer.at < first.at;
+      if (isEarlier || (timer.at === first!.at && timer.order < first!.order)) first = timer;
     });
     this.timers = this.timers.filter((timer) => timer !== first);
     return first;
--- a/bench/src/histories/world.ts
+++ b/bench/src/histories/world.ts
@@ -21,26 +21,26 @@
 import { MemoryNetwork } from './memoryNetwork.js';
 import type { NetworkAgent } from './memoryNetwork.js';
 import { MemoryStore } from './memoryStore.js';
-import { MemoryStorePort } from './memoryStorePort.js';
+import { MemoryStoreClient } from './memoryStorePort.js';
 import { HistoryService } from './plainService.js';
 import { VirtualClock } from './virtualClock.js';
 
 const service = 'desk';
 const dataCentre = 'north-a';
-const beatMs = 300;
-const refusedShare = 0.08;
+const heartbeatMs = 300;
+const refusalShare = 0.08;
 const retryAfterMs = 100;
-const callerPatienceMs = 6_000;
+const callerTimeoutMs = 6_000;
 
-/** Faults that are planted to show that the checkers see them. */
-export const Plant = {
+/** Faults that are planted to prove that the checkers detect them. */
+export const PlantedFault = {
   storeOverwrites: 'storeOverwrites',
   endpointLies: 'endpointLies',
   answersCross: 'answersCross',
 } as const;
 
-/** One of the values of {@link Plant}. */
-export type Plant = (typeof Plant)[keyof typeof Plant];
+/** One of the values of {@link PlantedFault}. */
+export type PlantedFault = (typeof PlantedFault)[keyof typeof PlantedFault];
 
 const silentLog: Log = {
   debug: () => undefined,
@@ -61,7 +61,7 @@
   readonly dispatcher: RequestDispatcher;
 }
 
-/** Entries and agents with the real request code, on a network, store and clock of memory. */
+/** Entries and agents running the real request code on an in-memory network, store and clock. */
 export class World {
   readonly clock = new VirtualClock();
 
@@ -81,52 +81,56 @@
 
   constructor(
     seed: number,
-    private readonly plant?: Plant,
-    /** Whether admission never refuses and endpoints lose no answers. */
-    private readonly calm = false,
+    private readonly plantedFault?: PlantedFault,
+    /** Disables random admission refusals and lost endpoint responses. */
+    private readonly onlyPlannedFaults = false,
   ) {
     this.random = new SeededRandom(seed);
-    this.store = new MemoryStore(this.clock, this.random, plant === Plant.storeOverwrites);
+    this.store = new MemoryStore(
+      this.clock,
+      this.random,
+      plantedFault === PlantedFault.storeOverwrites,
+    );
     this.network = new MemoryNetwork(this.clock, this.random, this.agents);
     ['a', 'b', 'c'].forEach((name) => this.addAgent(`agent-${name}`));
     ['a', 'b'].forEach((name) => this.addEntry(`entry-${name}`));
   }
 
-  /** What happened to each request. */
+  /** The history of each request. */
   get results(): RequestHistory[] {
     return [...this.histories].map(([request, { kind, events }]) => ({ request, kind, events }));
   }
 
-  /** A caller sends one copy of a request and waits for its end. Returns whether it was answered. */
+  /** Sends one copy of a request and waits for its outcome. Returns whether it was answered. */
   async submit(kind: RequestKind, request: string, entryIndex: number): Promise<boolean> {
     const entry = this.entries[entryIndex % this.entries.length]!;
     this.copies += 1;
     const copy = `copy-${this.copies}`;
-    this.note(request, kind, { kind: 'invoke', request, copy, at: this.clock.now() });
+    this.record(request, kind, { kind: 'invoke', request, copy, at: this.clock.now() });
     const abort = new AbortController();
-    this.clock.at(callerPatienceMs, () => abort.abort());
+    this.clock.at(callerTimeoutMs, () => abort.abort());
     try {
-      // A caller notices that its entry is gone, and then knows nothing of its request.
+      // When the entry is gone, the caller times out with an unknown outcome.
       const body = await Promise.race([
-        this.answer(entry, this.requestOf(kind, request, copy), abort.signal),
-        this.entryLost(entry.host),
+        this.dispatch(entry, this.makeRequest(kind, request, copy), abort.signal),
+        this.rejectAfterTimeout(entry.host),
       ]);
-      this.note(request, kind, { kind: 'reply', request, copy, body, at: this.clock.now() });
+      this.record(request, kind, { kind: 'reply', request, copy, body, at: this.clock.now() });
       return true;
     } catch (error) {
       const { type, execution } = toFailure(error);
       const at = this.clock.now();
-      this.note(request, kind, { kind: 'refuse', request, copy, type, execution, at });
+      this.record(request, kind, { kind: 'refuse', request, copy, type, execution, at });
       return false;
     }
   }
 
-  private async entryLost(host: Host): Promise<never> {
-    await this.clock.sleep(callerPatienceMs + beatMs);
-    throw toFailure(new TypeError(`${host.name} does not answer.`));
+  private async rejectAfterTimeout(host: Host): Promise<never> {
+    await this.clock.sleep(callerTimeoutMs + heartbeatMs);
+    throw toFailure(new TypeError(`${host.name} does not respond.`));
   }
 
-  private async answer(
+  private async dispatch(
     { dispatcher }: WorldEntry,
     request: CallerRequest,
     signal: AbortSignal,
@@ -138,7 +142,7 @@
     return body;
   }
 
-  private requestOf(kind: RequestKind, request: string, copy: string): CallerRequest {
+  private makeRequest(kind: RequestKind, request: string, copy: string): CallerRequest {
     return {
       id: copy,
       workspace: 'store',
@@ -151,7 +155,7 @@
     };
   }
 
-  private note(request: string, kind: RequestKind, event: HistoryEvent): void {
+  private record(request: string, kind: RequestKind, event: HistoryEvent): void {
     const history = this.histories.get(request) ?? { kind, events: [] };
     this.histories.set(request, history);
     history.events.push(event);
@@ -161,21 +165,21 @@
     const host = new Host(name, this.clock);
     const onRun = (request: string): void => {
       const kind = this.histories.get(request)?.kind ?? RequestKind.idempotent;
-      this.note(request, kind, { kind: 'run', request, at: this.clock.now() });
+      this.record(request, kind, { kind: 'run', request, at: this.clock.now() });
     };
-    const plain = new HistoryService(this.clock, host, this.random, onRun, {
-      losesAnswers: !this.calm,
-      lies: this.plant === Plant.endpointLies,
-      crosses: this.plant === Plant.answersCross,
+    const plainService = new HistoryService(this.clock, host, this.random, onRun, {
+      losesResponses: !this.onlyPlannedFaults,
+      reportsFalseNotRun: this.plantedFault === PlantedFault.endpointLies,
+      returnsPreviousResponse: this.plantedFault === PlantedFault.answersCross,
     });
     const settings = { instance: name, service, dataCentre, options: optionDefaults };
     const handler = makeRunHandler({
       settings: settings as AgentSettings,
       configuration: () => emptyConfiguration,
       gate: { limit: 8, inFlight: 0, queued: 0, acquire: () => this.admit() },
-      endpoint: new EndpointRuns({ plain }, () => ''),
+      endpoint: new EndpointRuns({ plain: plainService }, () => ''),
       isSettled: () => true,
-      store: new MemoryStorePort(this.store, host),
+      store: new MemoryStoreClient(this.store, host),
       clock: host,
       metrics: noMetrics,
       log: silentLog,
@@ -185,7 +189,7 @@
   }
 
   private async admit(): Promise<Permit> {
-    if (!this.calm && this.random.next() < refusedShare)
+    if (!this.onlyPlannedFaults && this.random.next() < refusalShare)
       throw new Overloaded('Full.', retryAfterMs);
     return { priority: 0, release: () => undefined };
   }
@@ -193,19 +197,27 @@
   private addEntry(name: string): void {
     const host = new Host(name, this.clock);
     const directory = new Directory(host, dataCentre, optionDefaults, this.random);
-    // Without peers no link is ever used.
+    // Without peers, no link is ever used.
     const links = {} as LinkPool;
     const settings = { instance: name, dataCentre, options: optionDefaults };
     const keepMs = optionDefaults.convictionMs;
-    const noPeers = () => [];
-    const guard = new CrashGuard(links, noPeers, host, this.random, keepMs, noMetrics, silentLog);
+    const listNoPeers = () => [];
+    const guard = new CrashGuard(
+      links,
+      listNoPeers,
+      host,
+      this.random,
+      keepMs,
+      noMetrics,
+      silentLog,
+    );
     const transport = this.network.from(host);
     const entrySettings = settings as unknown as EntrySettings;
-    const empty = () => emptyConfiguration;
-    const router = new Router(entrySettings, empty, directory, host, this.random);
+    const getConfiguration = () => emptyConfiguration;
+    const router = new Router(entrySettings, getConfiguration, directory, host, this.random);
     const dispatcher = new RequestDispatcher(
       entrySettings,
-      empty,
+      getConfiguration,
       directory,
       new AttemptReader(transport, host, optionDefaults.silenceMs, () => undefined),
       guard,
@@ -215,16 +227,16 @@
       silentLog,
     );
     this.entries.push({ host, dispatcher });
-    this.beat(directory);
+    this.sendHeartbeats(directory);
   }
 
-  private beat(directory: Directory): void {
+  private sendHeartbeats(directory: Directory): void {
     this.agents.forEach(({ host }, name) => {
       const place = { region: 'north', dataCentre, service, address: name };
       if (!host.isAlive) return;
       directory.beat(create(MemberSchema, { name, incarnation: 1n, ...place }));
       directory.clear(name);
     });
-    this.clock.at(beatMs, () => this.beat(directory));
+    this.clock.at(heartbeatMs, () => this.sendHeartbeats(directory));
   }
 }
--- a/bench/src/index.ts
+++ b/bench/src/index.ts
@@ -1,4 +1,4 @@
-/** What tests and benches share: fleets of processes on stand-ins, callers and reports. */
+/** Test support that features and benches share: fleets of processes on stand-ins, callers, reports. */
 export { benchNames } from './benches.js';
 export * from './caller.js';
 export * from './fleet.js';
@@ -6,7 +6,7 @@
 export * from './heavyDays/heavyDay.js';
 export * from './histories/history.js';
 export * from './histories/simulation.js';
-export { Plant } from './histories/world.js';
+export { PlantedFault } from './histories/world.js';
 export * from './managedProcess.js';
 export * from './mutations/mutation.js';
 export * from './mutations/mutationRun.js';
--- a/bench/src/linearFit.ts
+++ b/bench/src/linearFit.ts
@@ -4,7 +4,7 @@
   readonly y: number;
 }
 
-/** The line through a series by least squares. */
+/** A line fitted by least squares. */
 export interface Line {
   readonly slope: number;
   readonly intercept: number;
--- a/bench/src/managedProcess.ts
+++ b/bench/src/managedProcess.ts
@@ -7,13 +7,13 @@
 const require = createRequire(import.meta.url);
 const { resolve } = require;
 
-/** The programs of the product. */
+/** The product's programs. */
 export const Program = { entry: 'entry', agent: 'agent', cli: 'cli' } as const;
 
 /** One of the values of {@link Program}. */
 export type Program = (typeof Program)[keyof typeof Program];
 
-function argumentsOf(program: Program, settingsFile: string): string[] {
+function buildArguments(program: Program, settingsFile: string): string[] {
   const agentMain = resolve('@laburnumstream/agent').replace('index.js', 'main.js');
   if (program === Program.agent) return [agentMain, '--settings', settingsFile];
   const cliMain = resolve('@laburnumstream/agent').replace(
@@ -23,7 +23,7 @@
   return [cliMain, 'entry', '--settings', settingsFile];
 }
 
-/** A product process under test; ended by its own process id only. */
+/** A product process under test; signals go to its own process id only. */
 export class ManagedProcess {
   private child: ChildProcess | undefined;
 
@@ -40,7 +40,7 @@
     return this.child?.pid ?? 0;
   }
 
-  /** Everything that the process has logged. */
+  /** All output of the process so far. */
   get log(): string {
     return this.output;
   }
@@ -50,33 +50,32 @@
   }
 
   start(): this {
-    const child = spawn(process.execPath, argumentsOf(this.program, this.settingsFile), {
+    const child = spawn(process.execPath, buildArguments(this.program, this.settingsFile), {
       stdio: ['ignore', 'pipe', 'pipe'],
     });
-    const take = (bytes: Buffer): void => {
+    const onOutput = (bytes: Buffer): void => {
       this.output += bytes.toString();
       if (this.echo) process.stderr.write(bytes);
     };
-    child.stdout.on('data', take);
-    child.stderr.on('data', take);
+    child.stdout.on('data', onOutput);
+    child.stderr.on('data', onOutput);
     this.child = child;
     return this;
   }
 
-  /** Changes fields of the settings file; the process is not told. */
+  /** Changes fields of the settings file without notifying the process. */
   changeSettings(fields: object): void {
     const text = readFileSync(this.settingsFile, 'utf8').replace(/^\/\/.*$/gm, '');
     const settings = JSON.parse(text) as object;
     writeFileSync(this.settingsFile, JSON.stringify({ ...settings, ...fields }));
   }
 
-  /** Sends a signal to this process. */
   signal(name: NodeJS.Signals): void {
     this.child?.kill(name);
   }
 
-  /** Waits for the end and returns the exit code; null after a kill. */
-  async ended(): Promise<number | null> {
+  /** Waits for the exit and returns the exit code; null when a signal ended the process. */
+  async waitForExit(): Promise<number | null> {
     const { child } = this;
     if (!child) return null;
     if (this.isRunning) await once(child, 'exit');
@@ -85,11 +84,11 @@
 
   async stop(): Promise<number | null> {
     if (this.isRunning) this.signal('SIGTERM');
-    return this.ended();
+    return this.waitForExit();
   }
 
   async kill(): Promise<void> {
     if (this.isRunning) this.signal('SIGKILL');
-    await this.ended();
+    await this.waitForExit();
   }
 }
--- a/bench/src/mutations/mutation.ts
+++ b/bench/src/mutations/mutation.ts
@@ -1,13 +1,13 @@
-/** A mechanism that is switched off in the built code, and what must then fail. */
+/** An edit of the built code that disables a mechanism, and the test that must then fail. */
 export interface Mutation {
   readonly name: string;
-  /** Built file, from the root of the repository. */
+  /** Path of the built file, relative to the root of the repository. */
   readonly file: string;
-  /** Text that stands exactly once in the built file. */
+  /** Text that occurs exactly once in the built file. */
   readonly find: string;
   readonly replace: string;
-  /** Feature and scenario name; the fault soak's own scenario when `soak` is given. */
+  /** Names of the feature and scenario; those of the fault soak when `soak` is given. */
   readonly test: string;
-  /** Arguments of the fault soak that notices, in place of the scenario. */
+  /** Arguments of the fault soak that detects the mutation; it runs in place of the scenario. */
   readonly soak?: readonly string[];
 }
--- a/bench/src/mutations/mutationRun.ts
+++ b/bench/src/mutations/mutationRun.ts
@@ -5,25 +5,24 @@
 import type { Mutation } from './mutation.js';
 
 const separator = ': ';
-const scenarioLimitMs = 180_000;
-/** Exit code of a soak that found a broken promise. */
-const soakBroken = 1;
+const runTimeoutMs = 180_000;
+/** Exit code of a soak run that found a violation. */
+const soakViolationExitCode = 1;
 
-/** How often a text stands in another. */
-function occurrences(text: string, part: string): number {
+function countOccurrences(text: string, part: string): number {
   return text.split(part).length - 1;
 }
 
-/** Whether the text to replace stands exactly once in the built file. */
+/** Whether the text to replace occurs exactly once in the built file. */
 export function isApplicable(root: string, { file, find }: Mutation): boolean {
-  return occurrences(readFileSync(join(root, file), 'utf8'), find) === 1;
+  return countOccurrences(readFileSync(join(root, file), 'utf8'), find) === 1;
 }
 
-/** Runs the fault soak; true when it finds no broken promise. */
+/** Runs the fault soak; true when it finds no violation. */
 function soakPasses(root: string, soak: readonly string[]): boolean {
   const args = ['bench/dist/soak.js', ...soak];
-  const { status } = spawnSync(process.execPath, args, { cwd: root, timeout: scenarioLimitMs });
-  return status !== soakBroken;
+  const { status } = spawnSync(process.execPath, args, { cwd: root, timeout: runTimeoutMs });
+  return status !== soakViolationExitCode;
 }
 
 /** Runs the scenario of a mutation; true when it passes. */
@@ -31,20 +30,20 @@
   const scenario = test.slice(test.indexOf(separator) + separator.length);
   const name = `^${scenario}$`;
   const args = ['features/dist/run.js', '--name', name];
-  const { status } = spawnSync(process.execPath, args, { cwd: root, timeout: scenarioLimitMs });
+  const { status } = spawnSync(process.execPath, args, { cwd: root, timeout: runTimeoutMs });
   return status === 0;
 }
 
-/** Runs what notices a mutation; true when it passes. */
-function passes(root: string, { test, soak }: Mutation): boolean {
+/** Runs the test of a mutation; true when it passes. */
+function testPasses(root: string, { test, soak }: Mutation): boolean {
   return soak ? soakPasses(root, soak) : scenarioPasses(root, test);
 }
 
 /**
- * Switches a mechanism off in the built code, runs its scenario and restores the file. Returns
- * whether the scenario noticed, that is, failed.
+ * Applies a mutation to the built code, runs its test and restores the file. Returns whether the
+ * test detected the mutation, that is, failed.
  */
-export function isNoticed(root: string, mutation: Mutation): boolean {
+export function isDetected(root: string, mutation: Mutation): boolean {
   const path = join(root, mutation.file);
   const built = readFileSync(path, 'utf8');
   if (!isApplicable(root, mutation)) {
@@ -55,7 +54,7 @@
       path,
       built.replace(mutation.find, () => mutation.replace),
     );
-    return !passes(root, mutation);
+    return !testPasses(root, mutation);
   } finally {
     writeFileSync(path, built);
   }
--- a/bench/src/mutations/mutations.ts
+++ b/bench/src/mutations/mutations.ts
@@ -1,7 +1,7 @@
 import type { Mutation } from './mutation.js';
 import { soakMutations } from './soakMutations.js';
 
-/** The mechanisms that tests are shown to need. */
+/** Mutations of mechanisms, each of which a test must detect. */
 export const mutations: readonly Mutation[] = [
   {
     name: 'chunk verification',
--- a/bench/src/mutations/soakMutations.ts
+++ b/bench/src/mutations/soakMutations.ts
@@ -7,7 +7,7 @@
   return [...length, '--faults', faults];
 }
 
-/** The mechanisms that the fault soak is shown to watch over. */
+/** Mutations of mechanisms, each of which the fault soak must detect. */
 export const soakMutations: readonly Mutation[] = [
   {
     name: 'end of an answer without length',
--- a/bench/src/openLoad.ts
+++ b/bench/src/openLoad.ts
@@ -2,8 +2,8 @@
 
 const secondMs = 1_000;
 
-/** Starts `count` operations at a constant rate and waits for all of them. */
-export async function openLoad<Result>(
+/** Open-loop load: starts `count` operations at a constant rate and waits for all of them. */
+export async function runOpenLoad<Result>(
   perSecond: number,
   count: number,
   operation: (index: number) => Promise<Result>,
@@ -11,8 +11,8 @@
   const started = performance.now();
   const running: Promise<Result>[] = [];
   for (let index = 0; index < count; index += 1) {
-    const due = started + (index / perSecond) * secondMs;
-    const wait = due - performance.now();
+    const dueAt = started + (index / perSecond) * secondMs;
+    const wait = dueAt - performance.now();
     if (wait > 0) await sleep(wait);
     running.push(operation(index));
   }
--- a/bench/src/platformProgram.ts
+++ b/bench/src/platformProgram.ts
@@ -6,30 +6,30 @@
 import { fileURLToPath } from 'node:url';
 import { freePorts } from './ports.js';
 
-const programs = fileURLToPath(new URL('../../platform/dist/', import.meta.url));
+const programDirectory = fileURLToPath(new URL('../../platform/dist/', import.meta.url));
 
-/** The programs that run on the users' platform, by the files that start them. */
+/** The programs that run on the users' platform, by their main files. */
 export const PlatformMain = { entry: 'entryMain.js', agent: 'agentMain.js' } as const;
 
 /** One of the values of {@link PlatformMain}. */
 export type PlatformMain = (typeof PlatformMain)[keyof typeof PlatformMain];
 
-/** Where and what a program runs. */
-export interface ProgramChoices {
+/** Options of a program under test. */
+export interface ProgramOptions {
   readonly main: PlatformMain;
-  /** Directory of the built programs; its own modules by default, else one with bundles. */
+  /** Directory of the built programs; the unbundled modules by default. */
   readonly directory?: string;
-  /** File descriptor that takes the log; none by default. */
+  /** File descriptor for standard output; output is discarded by default. */
   readonly log?: number;
-  /** Port of the metrics; a free one by default. */
+  /** Port of the metrics endpoint; a free one by default. */
   readonly metricsPort?: number;
 }
 
-/** Lines of the platform's settings file. */
+/** Entries of the platform's settings file by key. */
 export type SettingsLines = Record<string, string>;
 
-/** Settings of an entry on this machine, and the port of its metrics. */
-export async function entrySettings(store: string): Promise<SettingsLines> {
+/** Settings of an entry on this machine that uses the given store address. */
+export async function makeEntrySettings(store: string): Promise<SettingsLines> {
   const [callers, readiness, first] = await freePorts(3);
   return {
     NodeName: 'front-1',
@@ -61,7 +61,7 @@
   };
 }
 
-/** A program of the platform as a process of its own; ended by its own process id only. */
+/** A platform program in its own process; signals go to its own process id only. */
 export class PlatformProgram {
   readonly file = join(mkdtempSync(join(tmpdir(), 'laburnumstream-')), 'settings.conf');
 
@@ -71,9 +71,9 @@
 
   private child: ChildProcess | undefined;
 
-  private code: Promise<number | null> = Promise.resolve(null);
+  private exitCode: Promise<number | null> = Promise.resolve(null);
 
-  constructor(private readonly choices: ProgramChoices = { main: PlatformMain.entry }) {}
+  constructor(private readonly options: ProgramOptions = { main: PlatformMain.entry }) {}
 
   get pid(): number {
     return this.child?.pid ?? 0;
@@ -89,10 +89,10 @@
     writeFileSync(this.file, `${text.join('\n')}\n`);
   }
 
-  /** Starts it; its standard output goes to a file, to a pipe that nobody reads, or nowhere. */
-  async start(output: IOType | number = this.choices.log ?? 'ignore'): Promise<void> {
-    const { main, directory = programs } = this.choices;
-    this.metricsPort = this.choices.metricsPort ?? (await freePorts(1))[0]!;
+  /** Starts the program. `output` is a file descriptor, `pipe` (never read) or `ignore`. */
+  async start(output: IOType | number = this.options.log ?? 'ignore'): Promise<void> {
+    const { main, directory = programDirectory } = this.options;
+    this.metricsPort = this.options.metricsPort ?? (await freePorts(1))[0]!;
     const args = [join(directory, main), '--metrics-port', String(this.metricsPort)];
     const child = spawn(process.execPath, args, {
       env: { PATH: process.env.PATH, LABURNUMSTREAM_CONFIG: this.file },
@@ -102,7 +102,7 @@
       this.errors += bytes.toString();
     });
     this.child = child;
-    this.code = new Promise((resolve) => {
+    this.exitCode = new Promise((resolve) => {
       child.once('exit', (code) => resolve(code));
       child.once('error', (error) => {
         this.errors += error.message;
@@ -115,9 +115,9 @@
     this.child?.kill(name);
   }
 
-  /** The exit code; null when a signal ended it. */
-  ended(): Promise<number | null> {
-    return this.code;
+  /** Waits for the exit and returns the exit code; null when a signal ended the process. */
+  waitForExit(): Promise<number | null> {
+    return this.exitCode;
   }
 
   close(): void {
--- a/bench/src/ports.ts
+++ b/bench/src/ports.ts
@@ -1,10 +1,10 @@
 import { createServer } from 'node:net';
 
-/** Ports below the range from which the system picks ports of outgoing connections. */
+/** First port; all blocks lie below the ephemeral port range of the system. */
 const firstPort = 10_240;
 const blockPorts = 200;
 const blocks = 110;
-/** Spreads neighbouring process ids over the blocks. */
+/** Distributes adjacent process ids over the blocks. */
 const stride = 37;
 
 const block = (process.pid * stride) % blocks;
@@ -27,8 +27,8 @@
 }
 
 /**
- * Free ports of 127.0.0.1, from a block of this process's own: a program under test that was killed
- * finds its port free when it starts again.
+ * Returns free ports of 127.0.0.1 from a block that belongs to this process, so that a program under
+ * test that was killed finds its port still free when it restarts.
  */
 export async function freePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
--- a/bench/src/report.ts
+++ b/bench/src/report.ts
@@ -2,10 +2,10 @@
 import { createRequire } from 'node:module';
 import { fileURLToPath } from 'node:url';
 import type { Figure } from './figure.js';
-import { committedResult, keptResults } from './results.js';
+import { committedResult, savedResults } from './results.js';
 import type { Result } from './results.js';
 
-/** The part of the chart library that is used; its own types do not resolve in ES modules. */
+/** The used part of the chart library, whose own types do not resolve in ES modules. */
 interface ChartLibrary {
   readonly init: (
     element: null,
@@ -21,30 +21,31 @@
 const margin = 90;
 const file = fileURLToPath(new URL('../results/report.html', import.meta.url));
 
-/** One line of the report: a figure now and in the last committed run. */
-interface Line {
+/** A row of the report: a figure of the saved run and its value in the last committed run. */
+interface ReportRow {
   readonly figure: Figure;
-  readonly before: number | undefined;
+  readonly committedValue: number | undefined;
 }
 
-function linesOf(result: Result): Line[] {
+function toRows(result: Result): ReportRow[] {
   const committed = committedResult(result.bench);
   return result.figures.map((figure) => ({
     figure,
-    before: committed?.figures.find(({ name }) => name === figure.name)?.value,
+    committedValue: committed?.figures.find(({ name }) => name === figure.name)?.value,
   }));
 }
 
-function printLine(bench: string, { figure, before }: Line): void {
+function printRow(bench: string, { figure, committedValue }: ReportRow): void {
   const { name, value, unit, bound } = figure;
-  const change = before === undefined ? 'new' : `committed ${before}`;
+  const change = committedValue === undefined ? 'new' : `committed ${committedValue}`;
   console.log([bench, name, `${value} ${unit}`, bound ?? 'no bound', change].join('  '));
 }
 
-/** Each figure as a share of its bound, so that all of a bench fit on one axis. */
-function plot({ bench }: Result, lines: readonly Line[]): string {
-  const bounded = lines.filter(({ figure }) => Number(figure.bound?.split(' ')[1]) > 0);
-  const share = (value: number, { figure }: Line) => value / Number(figure.bound?.split(' ')[1]);
+/** Draws each figure as a share of its bound, so that all figures of a bench fit on one axis. */
+function renderChart({ bench }: Result, rows: readonly ReportRow[]): string {
+  const bounded = rows.filter(({ figure }) => Number(figure.bound?.split(' ')[1]) > 0);
+  const share = (value: number, { figure }: ReportRow) =>
+    value / Number(figure.bound?.split(' ')[1]);
   const chart = init(null, null, {
     renderer: 'svg',
     ssr: true,
@@ -58,23 +59,25 @@
     xAxis: { type: 'value' },
     yAxis: { type: 'category', data: bounded.map(({ figure }) => figure.name) },
     series: [
-      { name: 'now', type: 'bar', data: bounded.map((line) => share(line.figure.value, line)) },
+      { name: 'now', type: 'bar', data: bounded.map((row) => share(row.figure.value, row)) },
       {
         name: 'committed',
         type: 'bar',
-        data: bounded.map((line) => (line.before === undefined ? null : share(line.before, line))),
+        data: bounded.map((row) =>
+          row.committedValue === undefined ? null : share(row.committedValue, row),
+        ),
       },
     ],
   });
   return chart.renderToSVGString();
 }
 
-/** Prints all kept results beside the committed ones and draws them as one page of plots. */
+/** Prints all saved results beside the committed ones and draws them as one page of plots. */
 function main(): void {
-  const plots = keptResults().map((result) => {
-    const lines = linesOf(result);
-    lines.forEach((line) => printLine(result.bench, line));
-    return plot(result, lines);
+  const plots = savedResults().map((result) => {
+    const rows = toRows(result);
+    rows.forEach((row) => printRow(result.bench, row));
+    return renderChart(result, rows);
   });
   writeFileSync(file, `<!doctype html><meta charset="utf-8">\n${plots.join('\n')}\n`);
   console.log('plots: bench/results/report.html');
--- a/bench/src/results.ts
+++ b/bench/src/results.ts
@@ -16,7 +16,7 @@
   readonly node: string;
 }
 
-/** A kept bench run. */
+/** A saved bench run. */
 export interface Result {
   readonly bench: string;
   readonly seed: number;
@@ -40,12 +40,12 @@
   try {
     return JSON.parse(text) as Result;
   } catch (error) {
-    throw new Failure('damaged_result', `${name} is not a kept result.`, { cause: error });
+    throw new Failure('damaged_result', `${name} is not a saved result.`, { cause: error });
   }
 }
 
-/** Keeps a run under bench/results. */
-export function keepResult(run: Omit<Result, 'commit' | 'machine'>): void {
+/** Saves a run under bench/results. */
+export function saveResult(run: Omit<Result, 'commit' | 'machine'>): void {
   mkdirSync(folder, { recursive: true });
   const commit = git('rev-parse', '--short', 'HEAD').trim();
   const result: Result = { ...run, commit, machine: machine() };
@@ -53,14 +53,14 @@
   writeFileSync(file, `${JSON.stringify(result, null, indent)}\n`);
 }
 
-/** All kept runs. */
-export function keptResults(): Result[] {
+/** Reads all saved runs. */
+export function savedResults(): Result[] {
   return readdirSync(folder)
     .filter((name) => name.endsWith(suffix))
     .map((name) => parse(name, readFileSync(`${folder}${name}`, 'utf8')));
 }
 
-/** The run of a bench that was committed last, or undefined when there is none. */
+/** Reads the committed run of a bench, or undefined when there is none. */
 export function committedResult(bench: string): Result | undefined {
   try {
     return parse(bench, git('show', `HEAD:./${bench}${suffix}`));
--- a/bench/src/run.ts
+++ b/bench/src/run.ts
@@ -3,16 +3,16 @@
 import { benches } from './benches.js';
 import { isWithin, toFigures } from './figure.js';
 import type { BenchRun, Figure } from './figure.js';
-import { keepResult } from './results.js';
+import { saveResult } from './results.js';
 
 const defaultSeed = 1;
 const secondMs = 1_000;
 
-/** What a run of the program was asked for. */
-interface Choices {
+/** Parsed command-line options. */
+interface RunOptions {
   readonly run: BenchRun;
   readonly json: boolean;
-  readonly keep: boolean;
+  readonly save: boolean;
 }
 
 const usage = `Usage: npm run bench -- NAME | all [--json] [--quick] [--seed N] [--runs N] [--save]
@@ -28,37 +28,38 @@
   console.log(`${bench}  ${figure.name}  ${figure.value} ${figure.unit}${bound}${verdict}`);
 }
 
-async function measure(name: string, { run, keep }: Choices): Promise<Figure[]> {
+async function measure(name: string, { run, save }: RunOptions): Promise<Figure[]> {
   const figures = toFigures(name, await benches[name]!(run));
-  if (keep) keepResult({ bench: name, seed: run.seed, quick: run.quick, figures });
+  if (save) saveResult({ bench: name, seed: run.seed, quick: run.quick, figures });
   return figures;
 }
 
-async function runOne(name: string, choices: Choices): Promise<boolean> {
-  const figures = await measure(name, choices);
+async function runOne(name: string, options: RunOptions): Promise<boolean> {
+  const figures = await measure(name, options);
   figures.forEach((figure) => print(name, figure));
-  if (choices.json) {
-    console.log(JSON.stringify({ bench: name, seed: choices.run.seed, figures }));
+  if (options.json) {
+    console.log(JSON.stringify({ bench: name, seed: options.run.seed, figures }));
   }
   return figures.every((figure) => isWithin(name, figure));
 }
 
-/** Runs all benches, one line for each; a bench that fails does not stop the others. */
-async function runAll(choices: Choices): Promise<boolean> {
+/** Runs all benches and prints one line for each; a failing bench does not stop the others. */
+async function runAll(options: RunOptions): Promise<boolean> {
   let within = true;
   for (const name of Object.keys(benches)) {
     const started = performance.now();
-    const outcome = await measure(name, choices).catch((error: unknown) => toFailure(error));
+    const outcome = await measure(name, options).catch((error: unknown) => toFailure(error));
     const seconds = ((performance.now() - started) / secondMs).toFixed(1);
-    const line = outcome instanceof Failure ? `FAILED ${outcome.message}` : oneLine(name, outcome);
-    console.log(`${name}  ${seconds} s  ${line}`);
-    const held = !(outcome instanceof Failure) && outcome.every((each) => isWithin(name, each));
-    within = within && held;
+    const summary =
+      outcome instanceof Failure ? `FAILED ${outcome.message}` : formatFigures(name, outcome);
+    console.log(`${name}  ${seconds} s  ${summary}`);
+    const isHeld = !(outcome instanceof Failure) && outcome.every((each) => isWithin(name, each));
+    within = within && isHeld;
   }
   return within;
 }
 
-function oneLine(bench: string, figures: readonly Figure[]): string {
+function formatFigures(bench: string, figures: readonly Figure[]): string {
   const parts = figures.map((figure) => {
     const verdict = isWithin(bench, figure) ? '' : ' BROKEN';
     return `${figure.name}=${Number(figure.value.toPrecision(4))}${verdict}`;
@@ -80,13 +81,13 @@
   const [name = ''] = positionals;
   const seed = Number(values.seed ?? defaultSeed);
   const run = { seed, quick: values.quick ?? false, runs: Number(values.runs ?? 0) };
-  const choices = { run, json: values.json ?? false, keep: values.save ?? false };
-  if (name === 'all') return (await runAll(choices)) ? 0 : 1;
+  const options = { run, json: values.json ?? false, save: values.save ?? false };
+  if (name === 'all') return (await runAll(options)) ? 0 : 1;
   if (!benches[name]) {
     process.stderr.write(usage);
     return 2;
   }
-  return (await runOne(name, choices)) ? 0 : 1;
+  return (await runOne(name, options)) ? 0 : 1;
 }
 
 process.exit(await main());
--- a/bench/src/simulatedMembers.ts
+++ b/bench/src/simulatedMembers.ts
@@ -23,51 +23,51 @@
 import type { ExchangeRequest } from '@laburnumstream/protocol';
 import { freePorts } from './ports.js';
 
-const beatMs = 1_000;
-const exchangeMs = 2_000;
+const heartbeatMs = 1_000;
+const exchangeIntervalMs = 2_000;
 const observerCount = 2;
 const partnerCount = 3;
 const bridgeCount = 2;
 const serverCount = 8;
 const linkAgeMs = 600_000;
-const bounds = {
+const membershipTimeouts = {
   suspectMs: 3_600_000,
   timeoutMs: 3_600_000,
   dataCentreTimeoutMs: 3_600_000,
   retentionMs: 3_600_000,
 };
-const silent: Metrics = {
+const noMetrics: Metrics = {
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
   sample: () => undefined,
 };
 
-/** How many members are simulated beside the real processes. */
+/** Numbers of members that are simulated beside the real processes. */
 export interface SimulatedSize {
   readonly entries: number;
   readonly agents: number;
 }
 
-function targetsOf(entry: Peer, isNear: boolean, entries: readonly Peer[]): Peer[] {
-  if (isNear) return choosePartners(entry, entries, partnerCount);
+function chooseTargets(entry: Peer, isLocal: boolean, entries: readonly Peer[]): Peer[] {
+  if (isLocal) return choosePartners(entry, entries, partnerCount);
   if (!isBridge(entry, entries, bridgeCount)) return [];
   return chooseRemotes(entry, entries, () => 0);
 }
 
 /**
- * The rest of a large fleet, played by one process: it answers as the other entries and sends what
- * other members would send to one real entry. Who talks to whom is decided by the product's logic.
+ * Simulates the rest of a large fleet in one process: responds as the other entries and sends what
+ * other members would send to one real entry. The product's logic decides who contacts whom.
  */
 export class SimulatedMembers {
-  private readonly members = new Membership('', bounds);
+  private readonly members = new Membership('', membershipTimeouts);
 
   private records: MemberRecord[] = [];
 
-  private beats = 0;
+  private heartbeatCount = 0;
 
-  /** Changes up to here are taken as known to the real entry. */
-  private lastRestart = 0;
+  /** Revision up to which the real entry is assumed to know all changes. */
+  private knownRevision = 0;
 
   constructor(
     private readonly size: SimulatedSize,
@@ -75,13 +75,13 @@
     private readonly secret: string,
   ) {}
 
-  /** Serves as the simulated entries until the signal fires. */
+  /** Serves as the simulated entries until the signal is aborted. */
   async start(signal: AbortSignal): Promise<this> {
     const ports = await freePorts(serverCount);
     const secrets = new Secrets([this.secret]);
     for (const port of ports) {
       const endpoint = { host: '127.0.0.1', port, secrets };
-      await serveInternal(endpoint, (router) => this.routes(router), silent, signal);
+      await serveInternal(endpoint, (router) => this.routes(router), noMetrics, signal);
     }
     const addresses = ports.map((port) => `http://127.0.0.1:${port}`);
     this.records = [
@@ -92,7 +92,7 @@
     return this;
   }
 
-  /** Lines of the platform's list. */
+  /** The simulated members as records of the platform's instance list. */
   get instances(): Instance[] {
     return this.records.map(({ name, role, region, dataCentre, address, service }) => ({
       name,
@@ -105,31 +105,37 @@
     }));
   }
 
-  /** Sends what other members would send to this entry, and restarts one member at each pause. */
-  async talkTo(real: Peer, restartPauseMs: number, signal: AbortSignal): Promise<void> {
+  /** Sends what other members would send to this entry; restarts a member every `restartPauseMs`. */
+  async sendTo(real: Peer, restartPauseMs: number, signal: AbortSignal): Promise<void> {
     const links = new LinkPool(new Secrets([this.secret]), linkAgeMs, () => 0, signal);
     const client = createClient(EntryService, links.to(real.address));
     const entries: Peer[] = [...this.records.filter(({ role }) => role === 'entry'), real];
     const agents = this.records.filter(({ role }) => role === 'agent');
-    const beating = agents.filter((agent) =>
+    const heartbeatSenders = agents.filter((agent) =>
       chooseObservers(agent, entries, observerCount).some(({ name }) => name === real.name),
     );
-    const asking = entries.filter((entry) => this.asks(entry, real, entries));
-    const beat = (record: MemberRecord) => {
-      this.beats += 1;
-      const member = toMember({ ...record, beat: this.beats });
+    const exchangeSenders = entries.filter((entry) => this.exchangesWith(entry, real, entries));
+    const sendHeartbeat = (record: MemberRecord) => {
+      this.heartbeatCount += 1;
+      const member = toMember({ ...record, beat: this.heartbeatCount });
       return client.beat({ member, configurationRevision: 1n }, { signal });
     };
-    const ask = (entry: Peer) => {
+    const sendExchange = (entry: Peer) => {
       const record = this.records.find(({ name }) => name === entry.name)!;
-      this.beats += 1;
-      const self = toMember({ ...record, beat: this.beats });
+      this.heartbeatCount += 1;
+      const self = toMember({ ...record, beat: this.heartbeatCount });
       const { digest } = this.members;
       return client.exchange({ self, members: [], digest, ages: this.ages() }, { signal });
     };
     const senders = [
-      ...beating.map((record) => ({ pauseMs: beatMs, send: () => beat(record) })),
-      ...asking.map((entry) => ({ pauseMs: exchangeMs, send: () => ask(entry) })),
+      ...heartbeatSenders.map((record) => ({
+        pauseMs: heartbeatMs,
+        send: () => sendHeartbeat(record),
+      })),
+      ...exchangeSenders.map((entry) => ({
+        pauseMs: exchangeIntervalMs,
+        send: () => sendExchange(entry),
+      })),
     ];
     void this.restartMembers(restartPauseMs, signal);
     await Promise.all(
@@ -143,9 +149,9 @@
     );
   }
 
-  private asks(entry: Peer, real: Peer, entries: readonly Peer[]): boolean {
+  private exchangesWith(entry: Peer, real: Peer, entries: readonly Peer[]): boolean {
     if (entry.name === real.name) return false;
-    const targets = targetsOf(entry, entry.dataCentre === real.dataCentre, entries);
+    const targets = chooseTargets(entry, entry.dataCentre === real.dataCentre, entries);
     return targets.some(({ name }) => name === real.name);
   }
 
@@ -157,14 +163,14 @@
       }),
       sync: () => ({ configurationRevision: 1n, document: '' }),
       shareVerdicts: () => ({ verdicts: [] }),
-      exchange: (request) => this.answer(request),
+      exchange: (request) => this.handleExchange(request),
     });
   }
 
-  private answer(request: ExchangeRequest) {
+  private handleExchange(request: ExchangeRequest) {
     request.members.forEach((member) => this.members.learn(toRecord(member), 0));
     if (request.self) this.members.learn(toRecord(request.self), 0);
-    const { records } = this.members.changesAfter(request.all ? 0 : this.lastRestart);
+    const { records } = this.members.changesAfter(request.all ? 0 : this.knownRevision);
     const members = records.map(toMember);
     return { members, digest: this.members.digest, ages: this.ages(), knownIncarnation: 0n };
   }
@@ -172,7 +178,7 @@
   private async restartMembers(pauseMs: number, signal: AbortSignal): Promise<void> {
     for (let index = 0; !signal.aborted; index += 1) {
       await sleep(pauseMs);
-      this.lastRestart = this.members.revision;
+      this.knownRevision = this.members.revision;
       const { name } = this.records[index % this.records.length]!;
       const record = this.members.get(name)!;
       this.members.learn({ ...record, incarnation: record.incarnation + 1, beat: 1 }, 0);
--- a/bench/src/soak/process.ts
+++ b/bench/src/soak/process.ts
@@ -116,7 +116,7 @@
     this.program.signal('SIGTERM');
     const limitMs = SoakBounds.shutdownMs + stopSlackMs;
     const late = sleep(limitMs, 'late' as const, { ref: false });
-    const end = await Promise.race([this.program.ended(), late]);
+    const end = await Promise.race([this.program.waitForExit(), late]);
     // A program that has not come so far as to write a line is ended by the signal itself.
     const hadStarted = this.logged > this.loggedBefore;
     if (end !== 0 && hadStarted && !this.isKilled && !this.wasPaused) {
@@ -129,7 +129,7 @@
     this.isEnding = true;
     this.isKilled = true;
     if (this.isRunning) this.program.signal('SIGKILL');
-    await this.program.ended();
+    await this.program.waitForExit();
   }
 
   async close(): Promise<void> {
@@ -142,7 +142,7 @@
   }
 
   private async watch(start: number): Promise<void> {
-    const code = await this.program.ended();
+    const code = await this.program.waitForExit();
     if (start !== this.starts || this.isEnding) return;
     const text = `${this.name} ended by itself with ${code}: ${this.program.errors.slice(-300)}`;
     this.history.violate(SoakRule.process, text);
--- a/bench/src/steadyLoad.ts
+++ b/bench/src/steadyLoad.ts
@@ -2,7 +2,7 @@
 
 const secondMs = 1_000;
 
-/** Operations at a constant rate, whatever becomes of the ones before, until it is stopped. */
+/** Open-loop load: starts operations at a constant rate until it is stopped. */
 export class SteadyLoad<Result> {
   readonly results: Result[] = [];
 
@@ -19,7 +19,7 @@
     this.loop = this.run();
   }
 
-  /** Starts no more operations and waits for the running ones. */
+  /** Stops starting operations and waits for those in flight. */
   async stop(): Promise<readonly Result[]> {
     this.stopped = true;
     await this.loop;
--- a/bench/src/target.ts
+++ b/bench/src/target.ts
@@ -1,4 +1,4 @@
-/** The size that the system is designed for, from the users' first letter. */
+/** The size that the system is designed for, as the users stated it. */
 export const target = {
   nodes: 370,
   engines: 760,
--- a/bench/src/virtual/freezableClock.ts
+++ b/bench/src/virtual/freezableClock.ts
@@ -1,10 +1,10 @@
 import type { Clock } from '@laburnumstream/common';
 
-/** The clock of one process that can be frozen: nothing of it wakes until it thaws. */
+/** The clock of one process that can be frozen: its sleeps do not resolve before it thaws. */
 export class FreezableClock implements Clock {
   private isFrozen = false;
 
-  private thawed: (() => void)[] = [];
+  private waiters: (() => void)[] = [];
 
   constructor(private readonly clock: Clock) {}
 
@@ -24,7 +24,7 @@
     try {
       await this.clock.sleep(ms, signal);
     } finally {
-      await this.running();
+      await this.whenRunning();
     }
   }
 
@@ -34,16 +34,16 @@
 
   thaw(): void {
     this.isFrozen = false;
-    const waiting = this.thawed;
-    this.thawed = [];
+    const waiting = this.waiters;
+    this.waiters = [];
     waiting.forEach((resume) => resume());
   }
 
-  /** Resolves when the process runs. */
-  private async running(): Promise<void> {
+  /** Resolves as soon as the process is not frozen. */
+  private async whenRunning(): Promise<void> {
     while (this.isFrozen) {
       await new Promise<void>((resolve) => {
-        this.thawed.push(resolve);
+        this.waiters.push(resolve);
       });
     }
   }
--- a/bench/src/virtual/reverts.ts
+++ b/bench/src/virtual/reverts.ts
@@ -1,7 +1,7 @@
-import type { InForce } from './virtualEntry.js';
+import type { AppliedRevision } from './virtualEntry.js';
 
-/** The places in a history of what was in force where a process went back. */
-export function revertsOf(history: readonly InForce[]): number {
+/** Counts the entries of a history whose revision is not newer than the one before. */
+export function countReverts(history: readonly AppliedRevision[]): number {
   return history.filter(
     ({ revision }, index) => index > 0 && revision <= history[index - 1]!.revision,
   ).length;
--- a/bench/src/virtual/virtualEntry.ts
+++ b/bench/src/virtual/virtualEntry.ts
@@ -13,29 +13,29 @@
 import { FreezableClock } from './freezableClock.js';
 
 const watchMs = 4_000;
-const noLog: Log = {
+const silentLog: Log = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
 
-/** What an entry in virtual time stands on. */
+/** The environment of an entry in virtual time. */
 export interface VirtualPlatform {
   readonly clock: VirtualClock;
   readonly content: MemoryStoreContent;
   readonly random: Random;
-  readonly entries: () => readonly Instance[];
-  readonly peersOf: (entry: VirtualEntry) => ConfigurationPeers;
+  readonly listEntries: () => readonly Instance[];
+  readonly makePeers: (entry: VirtualEntry) => ConfigurationPeers;
 }
 
-/** A revision that came into force at a time. */
-export interface InForce {
+/** A configuration revision and the time at which it came into force. */
+export interface AppliedRevision {
   readonly revision: number;
   readonly atMs: number;
 }
 
-/** The configuration's part of an entry process on a virtual clock. */
+/** The configuration components of an entry process, on a virtual clock. */
 export class VirtualEntry {
   readonly instance: Instance;
 
@@ -49,22 +49,22 @@
 
   readonly editor: ConfigurationEditor;
 
-  readonly history: InForce[] = [];
+  readonly history: AppliedRevision[] = [];
 
-  /** Until when documents sent to others occupy the process. */
-  busyUntil = 0;
+  /** Time until which the process is busy sending documents. */
+  busyUntilMs = 0;
 
   readonly counters = new Map<string, number>();
 
-  private readonly life = new AbortController();
+  private readonly lifetime = new AbortController();
 
   constructor(
     name: string,
     dataCentre: string,
     private readonly platform: VirtualPlatform,
   ) {
-    const { clock, content, random, entries, peersOf } = platform;
-    setMaxListeners(0, this.life.signal);
+    const { clock, content, random, listEntries, makePeers } = platform;
+    setMaxListeners(0, this.lifetime.signal);
     this.instance = {
       name,
       role: InstanceRole.entry,
@@ -81,7 +81,7 @@
       observe: () => undefined,
       sample: () => undefined,
     };
-    this.keeper = new ConfigurationKeeper(metrics, noLog);
+    this.keeper = new ConfigurationKeeper(metrics, silentLog);
     this.editor = new ConfigurationEditor(this.store, this.keeper, this.clock);
     this.spreader = new ConfigurationSpreader(
       this.instance,
@@ -93,44 +93,44 @@
         random,
         watchMs,
         metrics,
-        noLog,
+        silentLog,
       ),
-      peersOf(this),
-      entries,
+      makePeers(this),
+      listEntries,
       this.clock,
       random,
       watchMs,
       metrics,
-      noLog,
+      silentLog,
     );
     this.keeper.onAdoption((revision) => this.history.push({ revision, atMs: clock.now() }));
   }
 
   get isAlive(): boolean {
-    return !this.life.signal.aborted;
+    return !this.lifetime.signal.aborted;
   }
 
   get signal(): AbortSignal {
-    return this.life.signal;
+    return this.lifetime.signal;
   }
 
-  get answers(): boolean {
+  get isResponsive(): boolean {
     return this.isAlive && !this.clock.frozen;
   }
 
   start(): void {
-    void this.spreader.run(this.life.signal);
+    void this.spreader.run(this.lifetime.signal);
   }
 
-  /** Ends the process as a kill does. */
+  /** Terminates the process without any cleanup. */
   kill(): void {
-    this.life.abort();
+    this.lifetime.abort();
   }
 
-  /** Occupies the process with sending one document; returns the delay in milliseconds. */
+  /** Queues the sending of one document; returns the milliseconds until it is sent. */
   sendDocument(costMs: number): number {
     const now = this.platform.clock.now();
-    this.busyUntil = Math.max(now, this.busyUntil) + costMs;
-    return this.busyUntil - now;
+    this.busyUntilMs = Math.max(now, this.busyUntilMs) + costMs;
+    return this.busyUntilMs - now;
   }
 }
--- a/bench/src/virtual/virtualFleet.ts
+++ b/bench/src/virtual/virtualFleet.ts
@@ -2,17 +2,17 @@
 import type { Change } from '@laburnumstream/decisions';
 import { MemoryStoreContent, VirtualClock } from '@laburnumstream/standins';
 import { VirtualEntry } from './virtualEntry.js';
-import type { InForce } from './virtualEntry.js';
+import type { AppliedRevision } from './virtualEntry.js';
 import { VirtualPeers } from './virtualPeers.js';
 import type { VirtualNetwork } from './virtualPeers.js';
 
-const nearMs = 0.5;
-const farMs = 1;
-const beatMs = 500;
-/** Entries that one agent beats to. */
-const beatsTo = 2;
+const localLatencyMs = 0.5;
+const remoteLatencyMs = 1;
+const heartbeatMs = 500;
+/** Entries that receive the heartbeats of one agent. */
+const entriesPerAgent = 2;
 
-/** Sizes of a fleet in virtual time. */
+/** The seed and sizes of a fleet in virtual time. */
 export interface VirtualShape {
   readonly seed: number;
   readonly dataCentres: number;
@@ -20,17 +20,17 @@
   readonly agents: number;
 }
 
-/** An agent that learns of new revisions from the entries that it beats to. */
+/** An agent that learns of new revisions from the entries that it sends heartbeats to. */
 interface VirtualAgent {
   readonly entries: readonly number[];
-  readonly history: InForce[];
+  readonly history: AppliedRevision[];
 }
 
-function lastRevision(history: readonly InForce[]): number {
+function getLastRevision(history: readonly AppliedRevision[]): number {
   return history[history.length - 1]?.revision ?? 0;
 }
 
-/** Entries with the product's own configuration logic, and agents, on one virtual clock. */
+/** Entries with the product's configuration logic, and agents, on one virtual clock. */
 export class VirtualFleet {
   readonly clock = new VirtualClock();
 
@@ -42,35 +42,35 @@
 
   readonly sentBytes = new Map<string, number>();
 
-  /** Pairs of data centres that are cut off from each other. */
-  readonly cuts = new Set<string>();
+  /** Pairs of data centres that cannot reach each other, each as two names with a space. */
+  readonly partitions = new Set<string>();
 
   private readonly random: SeededRandom;
 
-  private readonly byName = new Map<string, VirtualEntry>();
+  private readonly entriesByName = new Map<string, VirtualEntry>();
 
-  private listed: VirtualEntry['instance'][] = [];
+  private listedInstances: VirtualEntry['instance'][] = [];
 
   constructor(private readonly shape: VirtualShape) {
     this.random = new SeededRandom(shape.seed);
     for (let index = 0; index < shape.entries; index += 1) this.addEntry(index);
-    this.listed = this.entries.map(({ instance }) => instance);
+    this.listedInstances = this.entries.map(({ instance }) => instance);
     this.entries.forEach((entry) => entry.start());
     for (let index = 0; index < shape.agents; index += 1) this.addAgent(index);
   }
 
   /** Advances the clock. */
-  async run(ms: number): Promise<void> {
+  async advance(ms: number): Promise<void> {
     await this.clock.runUntil(this.clock.now() + ms);
   }
 
-  /** Makes a change at an entry and returns the accepted revision. */
-  async change(change: Change, entry: VirtualEntry): Promise<number> {
+  /** Applies a change at an entry and returns the accepted revision. */
+  async applyChange(change: Change, entry: VirtualEntry): Promise<number> {
     const { revision } = await this.clock.runFor(entry.editor.apply(change, entry.signal));
     return revision;
   }
 
-  /** Replaces a killed entry by a new process of the same name. */
+  /** Kills an entry and replaces it by a new process of the same name. */
   restart(entry: VirtualEntry): VirtualEntry {
     entry.kill();
     const { name, dataCentre } = entry.instance;
@@ -80,12 +80,12 @@
     return started;
   }
 
-  /** All histories of what was in force, one for each process that ever ran. */
-  get histories(): readonly (readonly InForce[])[] {
-    return [...this.everStarted, ...this.agents].map(({ history }) => history);
+  /** The applied revisions of each process that was ever started. */
+  get histories(): readonly (readonly AppliedRevision[])[] {
+    return [...this.startedEntries, ...this.agents].map(({ history }) => history);
   }
 
-  private readonly everStarted: VirtualEntry[] = [];
+  private readonly startedEntries: VirtualEntry[] = [];
 
   private addEntry(index: number): void {
     const dataCentre = `data-centre-${index % this.shape.dataCentres}`;
@@ -98,21 +98,22 @@
       clock,
       content,
       random,
-      entries: () => this.listed,
-      peersOf: (caller) => new VirtualPeers(caller, this.network()),
+      listEntries: () => this.listedInstances,
+      makePeers: (caller) => new VirtualPeers(caller, this.makeNetwork()),
     });
-    this.byName.set(name, entry);
-    this.everStarted.push(entry);
+    this.entriesByName.set(name, entry);
+    this.startedEntries.push(entry);
     return entry;
   }
 
-  private network(): VirtualNetwork {
+  private makeNetwork(): VirtualNetwork {
     return {
       clock: this.clock,
-      entryNamed: (name) => this.byName.get(name),
-      isOpen: (from, to) => !this.cuts.has(`${from} ${to}`) && !this.cuts.has(`${to} ${from}`),
-      latencyMs: (from, to) => (from === to ? nearMs : farMs),
-      sent: (name, bytes) => {
+      findEntry: (name) => this.entriesByName.get(name),
+      isReachable: (from, to) =>
+        !this.partitions.has(`${from} ${to}`) && !this.partitions.has(`${to} ${from}`),
+      latencyMs: (from, to) => (from === to ? localLatencyMs : remoteLatencyMs),
+      countSent: (name, bytes) => {
         this.sentBytes.set(name, (this.sentBytes.get(name) ?? 0) + bytes);
       },
     };
@@ -120,30 +121,30 @@
 
   private addAgent(index: number): void {
     const { dataCentres, entries } = this.shape;
-    const inDataCentre = Math.ceil(entries / dataCentres);
-    const chosen = Array.from({ length: beatsTo }, () => {
-      const place = Math.floor(this.random.next() * inDataCentre);
-      return Math.min(entries - 1, place * dataCentres + (index % dataCentres));
+    const perDataCentre = Math.ceil(entries / dataCentres);
+    const chosen = Array.from({ length: entriesPerAgent }, () => {
+      const position = Math.floor(this.random.next() * perDataCentre);
+      return Math.min(entries - 1, position * dataCentres + (index % dataCentres));
     });
     const agent: VirtualAgent = { entries: chosen, history: [] };
     this.agents.push(agent);
-    this.beat(agent, this.random.next() * beatMs);
+    this.scheduleHeartbeat(agent, this.random.next() * heartbeatMs);
   }
 
-  /** Beats again and again; an entry that answers with a newer revision sends its document. */
-  private beat(agent: VirtualAgent, delayMs: number): void {
+  /** Sends heartbeats periodically; an entry with a newer revision responds with its document. */
+  private scheduleHeartbeat(agent: VirtualAgent, delayMs: number): void {
     this.clock.at(this.clock.now() + delayMs, () => {
-      agent.entries.forEach((index) => this.compare(agent, this.entries[index]!));
-      this.beat(agent, beatMs);
+      agent.entries.forEach((index) => this.fetchIfNewer(agent, this.entries[index]!));
+      this.scheduleHeartbeat(agent, heartbeatMs);
     });
   }
 
-  private compare(agent: VirtualAgent, entry: VirtualEntry): void {
+  private fetchIfNewer(agent: VirtualAgent, entry: VirtualEntry): void {
     const { revision } = entry.keeper.configuration;
-    if (!entry.answers || revision <= lastRevision(agent.history)) return;
-    const delayMs = 4 * nearMs + entry.sendDocument(1);
+    if (!entry.isResponsive || revision <= getLastRevision(agent.history)) return;
+    const delayMs = 4 * localLatencyMs + entry.sendDocument(1);
     this.clock.at(this.clock.now() + delayMs, () => {
-      if (revision <= lastRevision(agent.history)) return;
+      if (revision <= getLastRevision(agent.history)) return;
       agent.history.push({ revision, atMs: this.clock.now() });
     });
   }
