--- a/bench/src/virtual/virtualPeers.ts
+++ b/bench/src/virtual/virtualPeers.ts
@@ -10,15 +10,15 @@
 /** The network between entries in virtual time. */
 export interface VirtualNetwork {
   readonly clock: Clock;
-  readonly entryNamed: (name: string) => VirtualEntry | undefined;
-  /** Whether data centres reach each other. */
-  readonly isOpen: (from: string, to: string) => boolean;
+  readonly findEntry: (name: string) => VirtualEntry | undefined;
+  /** Whether two data centres can reach each other. */
+  readonly isReachable: (from: string, to: string) => boolean;
   readonly latencyMs: (from: string, to: string) => number;
-  /** Notes bytes that a process sent. */
-  readonly sent: (name: string, bytes: number) => void;
+  /** Adds to the bytes that a process has sent. */
+  readonly countSent: (name: string, bytes: number) => void;
 }
 
-/** Calls of other entries over a virtual network. */
+/** Calls to other entries over a virtual network. */
 export class VirtualPeers implements ConfigurationPeers {
   constructor(
     private readonly caller: VirtualEntry,
@@ -31,7 +31,7 @@
     const { configuration } = keeper;
     const document = configuration.revision > revision ? keeper.document : '';
     const { silenceMs } = spreader;
-    this.network.sent(callee.instance.name, messageBytes + document.length);
+    this.network.countSent(callee.instance.name, messageBytes + document.length);
     const costMs = document ? callee.sendDocument(documentCostMs) : 0;
     await this.caller.clock.sleep(this.latencyTo(peer) + costMs, signal);
     const { revision: known, changeId } = configuration;
@@ -50,13 +50,13 @@
 
   private async reach(peer: Instance, signal: AbortSignal): Promise<VirtualEntry> {
     const { network, caller } = this;
-    network.sent(caller.instance.name, messageBytes);
+    network.countSent(caller.instance.name, messageBytes);
     await caller.clock.sleep(this.latencyTo(peer), signal);
-    const callee = network.entryNamed(peer.name);
-    const isOpen = network.isOpen(caller.instance.dataCentre, peer.dataCentre);
-    if (callee?.answers && isOpen) return callee;
+    const callee = network.findEntry(peer.name);
+    const isOpen = network.isReachable(caller.instance.dataCentre, peer.dataCentre);
+    if (callee?.isResponsive && isOpen) return callee;
     await caller.clock.sleep(timeoutMs, signal);
     if (signal.aborted) throw new Aborted();
-    throw new Timeout(`${peer.name} did not answer.`);
+    throw new Timeout(`${peer.name} did not respond.`);
   }
 }
--- a/bench/src/warmUp.ts
+++ b/bench/src/warmUp.ts
@@ -2,11 +2,11 @@
 import type { Fleet } from './fleet.js';
 import { SteadyLoad } from './steadyLoad.js';
 
-/** Rate that endpoints bear just after their cold start. */
+/** Request rate that endpoints sustain just after a cold start. */
 const perSecond = 10;
 const timeoutMs = 40_000;
 
-/** Sends little work until every engine of a service is warm. */
+/** Sends a low load until every engine of a service is warm. */
 export async function warmUp(fleet: Fleet, balancer: Balancer, service: string): Promise<void> {
   const engines = fleet.agents
     .filter((agent) => agent.service === service)
@@ -15,6 +15,6 @@
     balancer.complete(service, `warm-up ${index}`, { maxTokens: 4 }),
   );
   const isWarm = (): boolean => engines.every(({ isCold }) => !isCold);
-  await fleet.until(isWarm, 'all engines are warm', timeoutMs);
+  await fleet.waitUntil(isWarm, 'all engines are warm', timeoutMs);
   await load.stop();
 }
--- a/bench/src/weights/eventQueue.ts
+++ b/bench/src/weights/eventQueue.ts
@@ -1,14 +1,14 @@
-interface Entry {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
-/** Virtual time: runs events in the order of their times, ties in the order in which they came. */
+/** Discrete-event queue in virtual time; events with equal times run in the order of scheduling. */
 export class EventQueue {
-  private readonly heap: Entry[] = [];
+  private readonly heap: ScheduledEvent[] = [];
 
-  private count = 0;
+  private scheduledCount = 0;
 
   private time = 0;
 
@@ -18,13 +18,13 @@
 
   at(time: number, run: () => void): void {
     const { heap } = this;
-    const entry = { at: Math.max(time, this.time), order: this.count, run };
-    this.count += 1;
+    const entry = { at: Math.max(time, this.time), order: this.scheduledCount, run };
+    this.scheduledCount += 1;
     let index = heap.length;
     heap.push(entry);
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      if (!EventQueue.before(entry, heap[parent]!)) break;
+      if (!EventQueue.isBefore(entry, heap[parent]!)) break;
       heap[index] = heap[parent]!;
       index = parent;
     }
@@ -35,7 +35,7 @@
     this.at(this.time + delay, run);
   }
 
-  /** Runs events until none is left or `isDone` holds. */
+  /** Runs events until the queue is empty or `isDone` returns true. */
   run(isDone: () => boolean): void {
     while (this.heap.length > 0 && !isDone()) {
       const next = this.pop();
@@ -44,7 +44,7 @@
     }
   }
 
-  private pop(): Entry {
+  private pop(): ScheduledEvent {
     const { heap } = this;
     const top = heap[0]!;
     const last = heap.pop()!;
@@ -54,8 +54,8 @@
       let child = 2 * index + 1;
       if (child >= heap.length) break;
       const right = child + 1;
-      if (right < heap.length && EventQueue.before(heap[right]!, heap[child]!)) child = right;
-      if (!EventQueue.before(heap[child]!, last)) break;
+      if (right < heap.length && EventQueue.isBefore(heap[right]!, heap[child]!)) child = right;
+      if (!EventQueue.isBefore(heap[child]!, last)) break;
       heap[index] = heap[child]!;
       index = child;
     }
@@ -63,7 +63,7 @@
     return top;
   }
 
-  private static before(a: Entry, b: Entry): boolean {
+  private static isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
     return a.at < b.at || (a.at === b.at && a.order < b.order);
   }
 }
--- a/bench/src/weights/fluidNetwork.ts
+++ b/bench/src/weights/fluidNetwork.ts
@@ -1,75 +1,77 @@
 import type { EventQueue } from './eventQueue.js';
 
-/** Bytes on their way over several links at once. */
+/** A transfer over a sequence of links. */
 interface Flow {
   readonly links: readonly string[];
-  left: number;
+  remainingBytes: number;
   rate: number;
-  readonly done: () => void;
+  readonly onDone: () => void;
 }
 
-/** Links in virtual time that their flows share evenly; a flow is as fast as its narrowest share. */
+/** Fluid model of links whose flows share them evenly; a flow runs at its smallest link share. */
 export class FluidNetwork {
   private readonly flows = new Set<Flow>();
 
-  private readonly counts = new Map<string, number>();
+  private readonly flowCounts = new Map<string, number>();
 
   private updatedAt = 0;
 
-  private turn = 0;
+  private allocation = 0;
 
   constructor(
     private readonly events: EventQueue,
-    /** Rates of the links in bytes a millisecond; links that are not listed have no limit. */
+    /** Link rates in bytes per millisecond; links that are not listed are unlimited. */
     private readonly rates: ReadonlyMap<string, number>,
   ) {}
 
-  /** Sends bytes over links; returns a function that ends it before. */
-  send(bytes: number, links: readonly string[], done: () => void): () => void {
-    const flow = { links, left: bytes, rate: 0, done };
+  /** Starts a transfer; returns a function that cancels it. */
+  send(bytes: number, links: readonly string[], onDone: () => void): () => void {
+    const flow = { links, remainingBytes: bytes, rate: 0, onDone };
     this.advance();
     this.flows.add(flow);
-    links.forEach((link) => this.counts.set(link, (this.counts.get(link) ?? 0) + 1));
-    this.share();
+    links.forEach((link) => this.flowCounts.set(link, (this.flowCounts.get(link) ?? 0) + 1));
+    this.allocateRates();
     return () => {
       if (!this.flows.has(flow)) return;
       this.advance();
       this.remove(flow);
-      this.share();
+      this.allocateRates();
     };
   }
 
   private remove(flow: Flow): void {
     this.flows.delete(flow);
-    flow.links.forEach((link) => this.counts.set(link, this.counts.get(link)! - 1));
+    flow.links.forEach((link) => this.flowCounts.set(link, this.flowCounts.get(link)! - 1));
   }
 
   private advance(): void {
-    const passed = this.events.now - this.updatedAt;
+    const elapsedMs = this.events.now - this.updatedAt;
     this.updatedAt = this.events.now;
-    this.flows.forEach((flow) => Object.assign(flow, { left: flow.left - flow.rate * passed }));
+    this.flows.forEach((flow) =>
+      Object.assign(flow, { remainingBytes: flow.remainingBytes - flow.rate * elapsedMs }),
+    );
   }
 
-  private share(): void {
+  private allocateRates(): void {
     let nextMs = Infinity;
     this.flows.forEach((flow) => {
       const shares = flow.links.map(
-        (link) => (this.rates.get(link) ?? Infinity) / this.counts.get(link)!,
+        (link) => (this.rates.get(link) ?? Infinity) / this.flowCounts.get(link)!,
       );
       Object.assign(flow, { rate: Math.min(...shares) });
-      nextMs = Math.min(nextMs, Math.max(0, flow.left) / flow.rate);
+      nextMs = Math.min(nextMs, Math.max(0, flow.remainingBytes) / flow.rate);
     });
-    this.turn += 1;
-    const { turn } = this;
-    if (nextMs < Infinity) this.events.after(nextMs, () => this.finish(turn));
+    this.allocation += 1;
+    const { allocation } = this;
+    if (nextMs < Infinity) this.events.after(nextMs, () => this.completeFlows(allocation));
   }
 
-  private finish(turn: number): void {
-    if (turn !== this.turn) return;
+  private completeFlows(allocation: number): void {
+    if (allocation !== this.allocation) return;
     this.advance();
-    const ended = [...this.flows].filter(({ left }) => left <= 1e-6);
+    const ended = [...this.flows].filter(({ remainingBytes }) => remainingBytes <= 1e-6);
     ended.forEach((flow) => this.remove(flow));
-    this.share();
-    ended.forEach(({ done }) => done());
+    this.allocateRates();
+    ended.forEach(({ onDone }) => onDone());
   }
 }
--- a/bench/src/weights/holderRun.ts
+++ b/bench/src/weights/holderRun.ts
@@ -4,65 +4,65 @@
 import { EventQueue } from './eventQueue.js';
 import { FluidNetwork } from './fluidNetwork.js';
 
-/** A transfer between sidecars in virtual time. Rates are in bits a second. */
-export interface HolderWork {
+/** Parameters of a transfer between sidecars in virtual time. Rates are in bits per second. */
+export interface HolderScenario {
   readonly seed: number;
-  /** Members of each region. */
+  /** Number of members in each region. */
   readonly regions: readonly number[];
-  /** Members of each region that hold everything from the start. */
+  /** Number of members in each region that hold all chunks from the start. */
   readonly holders: readonly number[];
   readonly chunks: number;
   readonly chunkBytes: number;
   readonly originRate: number;
   readonly linkRate: number;
   readonly regionRate: number;
-  /** Part of its link that a member gives while it serves requests. */
+  /** Share of its link that a member uses for uploads while it serves requests. */
   readonly servingShare: number;
-  /** Transfers that a member gives at once, and fetches that it runs at once. */
-  readonly givers: number;
-  readonly window: number;
-  /** Fetches that wait for their turn at a member at most. */
-  readonly queue: number;
-  /** Share of members that fall silent while the transfer runs. */
-  readonly dying: number;
-  /** Times between which the origin refuses all calls, in milliseconds; none when both are 0. */
+  /** Concurrent uploads and concurrent fetches of a member. */
+  readonly maxUploads: number;
+  readonly fetchWindow: number;
+  /** Maximum length of a member's upload queue. */
+  readonly maxQueuedUploads: number;
+  /** Share of members that stop responding while the transfer runs. */
+  readonly failingShare: number;
+  /** Period in which the origin refuses all calls; none when both times are 0. */
   readonly originDown: { readonly fromMs: number; readonly untilMs: number };
 }
 
-/** What a run showed; times in milliseconds since its begin. */
+/** Results of a run; times are in milliseconds since its start. */
 export interface HolderOutcome {
-  /** Times at which members were complete, in order. */
+  /** Sorted completion times of the members. */
   readonly completeMs: readonly number[];
-  /** Time at which the last chunk had left the origin. */
-  readonly leftOriginMs: number;
+  /** Time at which the last distinct chunk was fetched from the origin. */
+  readonly originDoneMs: number;
   readonly incomplete: number;
   readonly originCopies: number;
-  /** Copies that crossed between regions. */
-  readonly crossedCopies: number;
+  /** Copies transferred between regions. */
+  readonly crossRegionCopies: number;
 }
 
 const latencyMs = 1;
 const gossipMs = 100;
-const lookMs = 40;
-const longestMs = 60_000;
+const hedgeCheckMs = 40;
+const maxRunMs = 60_000;
 const bitsPerByte = 8;
 const secondMs = 1_000;
 
 interface Node {
   readonly member: WeightMember;
   readonly transfer: HolderTransfer;
-  giving: number;
-  /** Fetches that wait for their turn. */
-  readonly waiting: (() => void)[];
+  uploads: number;
+  /** Accepted fetches that wait for an upload slot. */
+  readonly queuedUploads: (() => void)[];
   isAlive: boolean;
-  completeAt: number | undefined;
+  completedAt: number | undefined;
 }
 
 function bytesPerMs(bitsPerSecond: number): number {
   return bitsPerSecond / bitsPerByte / secondMs;
 }
 
-/** Runs the decision logic of all members of a transfer against links that are shared evenly. */
+/** Runs the transfer logic of all members over evenly shared links in virtual time. */
 export class HolderRun {
   private readonly events = new EventQueue();
 
@@ -70,165 +70,173 @@
 
   private readonly nodes: Node[] = [];
 
-  private readonly byName = new Map<string, Node>();
+  private readonly nodesByName = new Map<string, Node>();
 
   private readonly random: SeededRandom;
 
   private originChunks = 0;
 
-  private crossedChunks = 0;
+  private crossRegionChunks = 0;
 
-  /** Chunks that some member has taken from the origin. */
-  private readonly left = new Set<number>();
+  /** Distinct chunks that were fetched from the origin. */
+  private readonly chunksFromOrigin = new Set<number>();
 
-  private leftOriginAt = 0;
+  private originDoneAt = 0;
 
-  constructor(private readonly work: HolderWork) {
-    this.random = new SeededRandom(work.seed);
-    const originChunkMs = work.chunkBytes / bytesPerMs(work.originRate);
+  constructor(private readonly scenario: HolderScenario) {
+    this.random = new SeededRandom(scenario.seed);
+    const originChunkMs = scenario.chunkBytes / bytesPerMs(scenario.originRate);
     const limits = { ...holderDefaults, originChunkMs };
-    const rates = new Map<string, number>([['origin', bytesPerMs(work.originRate)]]);
-    work.regions.forEach((count, region) => {
-      work.regions.forEach((_, other) =>
-        rates.set(`${region}>${other}`, region === other ? Infinity : bytesPerMs(work.regionRate)),
+    const rates = new Map<string, number>([['origin', bytesPerMs(scenario.originRate)]]);
+    scenario.regions.forEach((count, region) => {
+      scenario.regions.forEach((_, other) =>
+        rates.set(
+          `${region}>${other}`,
+          region === other ? Infinity : bytesPerMs(scenario.regionRate),
+        ),
       );
       for (let index = 0; index < count; index += 1) {
         const name = `${region}-${index}`;
         const member = { name, region: String(region), dataCentre: String(region) };
-        const transfer = new HolderTransfer(work.chunks, member, this.random, 0, limits);
-        transfer.window = work.window;
+        const transfer = new HolderTransfer(scenario.chunks, member, this.random, 0, limits);
+        transfer.window = scenario.fetchWindow;
         const node = {
           member,
           transfer,
-          giving: 0,
-          waiting: [],
+          uploads: 0,
+          queuedUploads: [],
           isAlive: true,
-          completeAt: undefined,
+          completedAt: undefined,
         };
-        if (index < work.holders[region]!) {
-          for (let chunk = 0; chunk < work.chunks; chunk += 1) transfer.has(chunk);
+        if (index < scenario.holders[region]!) {
+          for (let chunk = 0; chunk < scenario.chunks; chunk += 1) transfer.has(chunk);
         }
         this.nodes.push(node);
-        this.byName.set(name, node);
-        rates.set(`up ${name}`, bytesPerMs(work.linkRate) * work.servingShare);
-        rates.set(`down ${name}`, bytesPerMs(work.linkRate));
+        this.nodesByName.set(name, node);
+        rates.set(`up ${name}`, bytesPerMs(scenario.linkRate) * scenario.servingShare);
+        rates.set(`down ${name}`, bytesPerMs(scenario.linkRate));
       }
     });
     this.network = new FluidNetwork(this.events, rates);
   }
 
   run(): HolderOutcome {
-    const { nodes, events, work } = this;
+    const { nodes, events, scenario } = this;
     const members = nodes.map(({ member }) => member);
     nodes.forEach(({ transfer }) => transfer.regroup(members));
     nodes.forEach((node) => {
       this.gossip(node);
-      this.look(node);
-      const dies = this.random.next() < work.dying;
-      const diesAt = this.random.next() * secondMs * 2;
-      if (dies) events.at(diesAt, () => Object.assign(node, { isAlive: false }));
+      this.checkHedges(node);
+      const fails = this.random.next() < scenario.failingShare;
+      const failsAt = this.random.next() * secondMs * 2;
+      if (fails) events.at(failsAt, () => Object.assign(node, { isAlive: false }));
     });
-    const waits = (): Node[] =>
+    const incompleteNodes = (): Node[] =>
       nodes.filter(({ isAlive, transfer }) => isAlive && !transfer.isComplete);
-    events.run(() => waits().length === 0 || events.now > longestMs);
-    const times = nodes.flatMap(({ completeAt }) => (completeAt === undefined ? [] : [completeAt]));
+    events.run(() => incompleteNodes().length === 0 || events.now > maxRunMs);
+    const times = nodes.flatMap(({ completedAt }) =>
+      completedAt === undefined ? [] : [completedAt],
+    );
     return {
       completeMs: times.sort((a, b) => a - b),
-      leftOriginMs: this.leftOriginAt,
-      incomplete: waits().length,
-      originCopies: this.originChunks / work.chunks,
-      crossedCopies: this.crossedChunks / work.chunks,
+      originDoneMs: this.originDoneAt,
+      incomplete: incompleteNodes().length,
+      originCopies: this.originChunks / scenario.chunks,
+      crossRegionCopies: this.crossRegionChunks / scenario.chunks,
     };
   }
 
   private gossip(node: Node): void {
     if (node.isAlive) {
-      const near = this.nodes.filter(({ member }) => member.region === node.member.region);
-      near.forEach((other) => this.tell(node, other));
-      node.transfer.askedElsewhere().forEach(({ name }) => this.tell(this.byName.get(name)!, node));
+      const localNodes = this.nodes.filter(({ member }) => member.region === node.member.region);
+      localNodes.forEach((other) => this.announce(node, other));
+      node.transfer
+        .askedElsewhere()
+        .forEach(({ name }) => this.announce(this.nodesByName.get(name)!, node));
     }
     this.events.after(gossipMs, () => this.gossip(node));
   }
 
-  private tell(from: Node, to: Node): void {
+  private announce(from: Node, to: Node): void {
     if (from === to || !from.isAlive || !to.isAlive) return;
     const held = Uint8Array.from(from.transfer.held);
     this.events.after(latencyMs, () => {
-      to.transfer.learn(from.member.name, held, from.giving, this.events.now);
-      this.begin(to, to.transfer.start(this.events.now));
+      to.transfer.learn(from.member.name, held, from.uploads, this.events.now);
+      this.startFetches(to, to.transfer.start(this.events.now));
     });
   }
 
-  private look(node: Node): void {
-    if (node.isAlive) this.begin(node, node.transfer.hedge(this.events.now));
-    this.events.after(lookMs, () => this.look(node));
+  private checkHedges(node: Node): void {
+    if (node.isAlive) this.startFetches(node, node.transfer.hedge(this.events.now));
+    this.events.after(hedgeCheckMs, () => this.checkHedges(node));
   }
 
-  private begin(node: Node, fetches: readonly ChunkFetch[]): void {
-    fetches.forEach((fetch) => this.events.after(latencyMs, () => this.ask(node, fetch)));
+  private startFetches(node: Node, fetches: readonly ChunkFetch[]): void {
+    fetches.forEach((fetch) => this.events.after(latencyMs, () => this.request(node, fetch)));
   }
 
-  private ask(node: Node, fetch: ChunkFetch): void {
+  private request(node: Node, fetch: ChunkFetch): void {
     const { source, chunk } = fetch;
-    const { chunkBytes, givers, queue } = this.work;
-    const down = `down ${node.member.name}`;
+    const { chunkBytes, maxUploads, maxQueuedUploads } = this.scenario;
+    const downlink = `down ${node.member.name}`;
     if (source === origin) {
       if (this.isOriginDown) {
-        this.events.after(latencyMs, () => this.refused(node, fetch));
+        this.events.after(latencyMs, () => this.onRefused(node, fetch));
         return;
       }
-      // The origin stands in the last region.
-      const from = String(this.work.regions.length - 1);
+      // The origin is in the last region.
+      const from = String(this.scenario.regions.length - 1);
       this.originChunks += 1;
-      if (from !== node.member.region) this.crossedChunks += 1;
-      const links = ['origin', `${from}>${node.member.region}`, down];
-      this.network.send(chunkBytes, links, () => this.arrived(node, fetch));
+      if (from !== node.member.region) this.crossRegionChunks += 1;
+      const links = ['origin', `${from}>${node.member.region}`, downlink];
+      this.network.send(chunkBytes, links, () => this.onArrived(node, fetch));
       return;
     }
-    const giver = this.byName.get(source.name)!;
-    if (!giver.isAlive) return;
-    const isBusy = giver.giving >= givers && giver.waiting.length >= queue;
-    if (!giver.transfer.held[chunk] || isBusy) {
-      this.events.after(latencyMs, () => this.refused(node, fetch));
+    const holder = this.nodesByName.get(source.name)!;
+    if (!holder.isAlive) return;
+    const isBusy = holder.uploads >= maxUploads && holder.queuedUploads.length >= maxQueuedUploads;
+    if (!holder.transfer.held[chunk] || isBusy) {
+      this.events.after(latencyMs, () => this.onRefused(node, fetch));
       return;
     }
-    if (giver.member.region !== node.member.region) this.crossedChunks += 1;
-    if (giver.giving >= givers) giver.waiting.push(() => this.give(giver, node, fetch));
-    else this.give(giver, node, fetch);
+    if (holder.member.region !== node.member.region) this.crossRegionChunks += 1;
+    if (holder.uploads >= maxUploads)
+      holder.queuedUploads.push(() => this.upload(holder, node, fetch));
+    else this.upload(holder, node, fetch);
   }
 
   private get isOriginDown(): boolean {
-    const { fromMs, untilMs } = this.work.originDown;
+    const { fromMs, untilMs } = this.scenario.originDown;
     return this.events.now >= fromMs && this.events.now < untilMs;
   }
 
-  private refused(node: Node, fetch: ChunkFetch): void {
+  private onRefused(node: Node, fetch: ChunkFetch): void {
     node.transfer.failed(fetch, FetchFault.notYet, this.events.now);
-    this.begin(node, node.transfer.start(this.events.now));
+    this.startFetches(node, node.transfer.start(this.events.now));
   }
 
-  private give(giver: Node, node: Node, fetch: ChunkFetch): void {
-    Object.assign(giver, { giving: giver.giving + 1 });
-    const region = `${giver.member.region}>${node.member.region}`;
-    const links = [`up ${giver.member.name}`, region, `down ${node.member.name}`];
-    this.network.send(this.work.chunkBytes, links, () => {
-      Object.assign(giver, { giving: giver.giving - 1 });
-      giver.waiting.shift()?.();
-      this.arrived(node, fetch);
+  private upload(holder: Node, node: Node, fetch: ChunkFetch): void {
+    Object.assign(holder, { uploads: holder.uploads + 1 });
+    const region = `${holder.member.region}>${node.member.region}`;
+    const links = [`up ${holder.member.name}`, region, `down ${node.member.name}`];
+    this.network.send(this.scenario.chunkBytes, links, () => {
+      Object.assign(holder, { uploads: holder.uploads - 1 });
+      holder.queuedUploads.shift()?.();
+      this.onArrived(node, fetch);
     });
   }
 
-  private arrived(node: Node, fetch: ChunkFetch): void {
+  private onArrived(node: Node, fetch: ChunkFetch): void {
     const { now } = this.events;
     node.transfer.succeeded(fetch, now);
-    if (fetch.source === origin && !this.left.has(fetch.chunk)) {
-      this.left.add(fetch.chunk);
-      this.leftOriginAt = now;
+    if (fetch.source === origin && !this.chunksFromOrigin.has(fetch.chunk)) {
+      this.chunksFromOrigin.add(fetch.chunk);
+      this.originDoneAt = now;
     }
-    if (node.transfer.isComplete) Object.assign(node, { completeAt: node.completeAt ?? now });
+    if (node.transfer.isComplete) Object.assign(node, { completedAt: node.completedAt ?? now });
     node.transfer
       .waitingElsewhere(fetch.chunk)
-      .forEach(({ name }) => this.tell(node, this.byName.get(name)!));
-    this.begin(node, node.transfer.start(now));
+      .forEach(({ name }) => this.announce(node, this.nodesByName.get(name)!));
+    this.startFetches(node, node.transfer.start(now));
   }
 }
--- a/bench/src/weights/pacedTransfer.ts
+++ b/bench/src/weights/pacedTransfer.ts
@@ -10,38 +10,41 @@
 import { OriginStandIn, TokenBucket, makeContent } from '@laburnumstream/standins';
 import { freePorts } from '../ports.js';
 import { RegionGateway } from './regionGateway.js';
-import type { WholeReport, WorkerTask } from './weightWorker.js';
+import type { CompletionReport, WorkerTask } from './weightWorker.js';
 
-/** Links of a run: a copy takes `copyMs` on an instance's link, half of that on the origin's. */
+/** Rate-limited links: a copy takes `copyMs` on an instance's link, half of that on the origin's. */
 export const pacedLinks = {
   sizeBytes: 1_572_864,
   chunkBytes: 16_384,
   copyMs: 1_500,
-  /** 18 Mbit/s between two regions, each way. */
+  /** 18 Mbit/s between two regions in each direction. */
   regionBytesPerSecond: 2_250_000,
 } as const;
 
-/** What a run on real processes showed. */
+/** Results of a run with real processes. */
 export interface PacedOutcome {
-  readonly ms: number;
+  readonly durationMs: number;
   readonly originCopies: number;
-  /** Copies into the remote region that took most. */
+  /** Largest number of copies sent into any remote region. */
   readonly remoteCopies: number;
 }
 
 const regions = ['south-plains', 'edwards-plateau', 'trans-pecos'];
 const membersPerWorker = 4;
 const secondMs = 1_000;
-const worker = fileURLToPath(new URL('./weightWorker.js', import.meta.url));
+const workerPath = fileURLToPath(new URL('./weightWorker.js', import.meta.url));
 
-/** The time that no scheme can beat: a copy over an instance's link, or halves over two region links. */
-export function pacedBoundMs(): number {
+/**
+ * Lower bound of the transfer time: one copy over an instance's link, or half a copy over each of
+ * the two links into a region.
+ */
+export function minTransferMs(): number {
   const { sizeBytes, copyMs, regionBytesPerSecond } = pacedLinks;
   const regionLinks = regions.length - 1;
   return Math.max(copyMs, (sizeBytes / regionBytesPerSecond / regionLinks) * secondMs);
 }
 
-function seenFrom(
+function toMembersSeenFrom(
   region: string,
   members: readonly Instance[],
   gateways: ReadonlyMap<string, RegionGateway>,
@@ -82,7 +85,7 @@
 async function startWorkers(tasks: readonly WorkerTask[]): Promise<ChildProcess[]> {
   return Promise.all(
     tasks.map(async (task) => {
-      const child = fork(worker);
+      const child = fork(workerPath);
       child.send(task);
       await once(child, 'message');
       return child;
@@ -90,22 +93,25 @@
   );
 }
 
-async function awaitAll(children: readonly ChildProcess[], count: number): Promise<number> {
-  let last = 0;
-  let left = count;
+async function waitUntilComplete(
+  children: readonly ChildProcess[],
+  count: number,
+): Promise<number> {
+  let lastAt = 0;
+  let remaining = count;
   await new Promise<void>((resolve) => {
     children.forEach((child) =>
-      child.on('message', ({ at }: WholeReport) => {
-        last = Math.max(last, at);
-        left -= 1;
-        if (left === 0) resolve();
+      child.on('message', ({ at }: CompletionReport) => {
+        lastAt = Math.max(lastAt, at);
+        remaining -= 1;
+        if (remaining === 0) resolve();
       }),
     );
   });
-  return last;
+  return lastAt;
 }
 
-/** Spreads one version to `count` members in real processes over paced links. */
+/** Distributes one version to `count` members in real processes over rate-limited links. */
 export async function pacedTransfer(
   count: number,
   order: keyof typeof sourceOrders,
@@ -123,7 +129,7 @@
     const gateway = gateways.get(`${originRegion}/${region}`);
     return [region, gateway ? `${gateway.address}/${port}` : origin.address];
   });
-  const lists = regions.map((region) => [region, seenFrom(region, members, gateways)]);
+  const lists = regions.map((region) => [region, toMembersSeenFrom(region, members, gateways)]);
   const shared = {
     lists: Object.fromEntries(lists) as WorkerTask['lists'],
     origins: Object.fromEntries(origins) as WorkerTask['origins'],
@@ -139,12 +145,16 @@
   try {
     const started = Date.now();
     children.forEach((child) => child.send('go'));
-    const ms = (await awaitAll(children, count)) - started;
-    const into = regions.slice(1).map((region) => {
+    const durationMs = (await waitUntilComplete(children, count)) - started;
+    const copiesPerRegion = regions.slice(1).map((region) => {
       const links = [...gateways].filter(([pair]) => pair.endsWith(`/${region}`));
-      return links.reduce((sum, [, { bytes }]) => sum + bytes, 0) / sizeBytes;
+      return links.reduce((sum, [, { forwardedBytes }]) => sum + forwardedBytes, 0) / sizeBytes;
     });
-    return { ms, originCopies: origin.sentBytes / sizeBytes, remoteCopies: Math.max(...into) };
+    return {
+      durationMs,
+      originCopies: origin.sentBytes / sizeBytes,
+      remoteCopies: Math.max(...copiesPerRegion),
+    };
   } finally {
     children.forEach((child) => child.kill('SIGKILL'));
     await Promise.all([origin.stop(), ...[...gateways.values()].map((each) => each.stop())]);
--- a/bench/src/weights/receivingLink.ts
+++ b/bench/src/weights/receivingLink.ts
@@ -1,15 +1,15 @@
-/** A link that chunks enter as they arrive; passes them at its rate in the order of arrival. */
-export class ReceivingLink {
+/** A link in virtual time that transfers chunks at a fixed rate in the order of arrival. */
+export class FifoLink {
   private freeAt = 0;
 
-  passed = 0;
+  transferredChunks = 0;
 
   constructor(private readonly chunkMs: number) {}
 
-  /** The time at which a chunk that arrives now has passed. */
-  pass(now: number): number {
+  /** Adds a chunk and returns the time at which its transfer is complete. */
+  transfer(now: number): number {
     this.freeAt = Math.max(now, this.freeAt + this.chunkMs);
-    this.passed += 1;
+    this.transferredChunks += 1;
     return this.freeAt;
   }
 }
--- a/bench/src/weights/regionGateway.ts
+++ b/bench/src/weights/regionGateway.ts
@@ -3,9 +3,9 @@
 import { request } from 'undici';
 import { TokenBucket } from '@laburnumstream/standins';
 
-/** A paced link from one region to another: `http://GATEWAY/PORT/PATH` reads from a port behind it. */
+/** A rate-limited link between regions: forwards `http://GATEWAY/PORT/PATH` to the local port PORT. */
 export class RegionGateway {
-  bytes = 0;
+  forwardedBytes = 0;
 
   private readonly server: Server;
 
@@ -18,7 +18,7 @@
     this.link = new TokenBucket(bytesPerSecond);
     this.server = createServer((incoming, response) => {
       const [, target = '', ...path] = (incoming.url ?? '').split('/');
-      this.read(`http://127.0.0.1:${target}/${path.join('/')}`).then(
+      this.forward(`http://127.0.0.1:${target}/${path.join('/')}`).then(
         ({ status, body }) => response.writeHead(status).end(body),
         () => response.destroy(),
       );
@@ -43,12 +43,12 @@
     });
   }
 
-  private async read(url: string): Promise<{ status: number; body: Buffer }> {
+  private async forward(url: string): Promise<{ status: number; body: Buffer }> {
     const { statusCode, body } = await request(url, { headersTimeout: 0, bodyTimeout: 0 });
     const bytes = Buffer.from(await body.arrayBuffer());
     if (statusCode === 200) {
       await this.link.take(bytes.length);
-      this.bytes += bytes.length;
+      this.forwardedBytes += bytes.length;
     }
     return { status: statusCode, body: bytes };
   }
--- a/bench/src/weights/sendingLink.ts
+++ b/bench/src/weights/sendingLink.ts
@@ -1,54 +1,54 @@
 import type { EventQueue } from './eventQueue.js';
 
-/** A chunk that waits for a sender's link. */
-export interface Sending {
+/** A chunk that waits in the queue of a sender's link. */
+export interface QueuedChunk {
   readonly priority: number;
-  /** Closed when the receiver no longer waits, or when the sending has begun. */
-  isOpen: boolean;
-  readonly passed: () => void;
+  /** False once the receiver no longer waits or the transfer has started. */
+  isPending: boolean;
+  readonly onTransferred: () => void;
 }
 
-/** A sender's link in virtual time: chunks pass one after the other, lower priority numbers first. */
-export class SendingLink {
-  private readonly queue: Sending[] = [];
+/** A sender's link in virtual time: transfers one chunk at a time, lowest priority number first. */
+export class PriorityLink {
+  private readonly queue: QueuedChunk[] = [];
 
-  private busy = false;
+  private isBusy = false;
 
-  sent = 0;
+  sentChunks = 0;
 
   constructor(
     private readonly events: EventQueue,
     private readonly chunkMs: number,
   ) {}
 
-  send(sending: Sending): void {
-    this.queue.push(sending);
-    if (!this.busy) this.next();
+  send(chunk: QueuedChunk): void {
+    this.queue.push(chunk);
+    if (!this.isBusy) this.sendNext();
   }
 
-  private next(): void {
-    const sending = this.take();
-    this.busy = sending !== undefined;
-    if (!sending) return;
-    sending.isOpen = false;
-    this.sent += 1;
+  private sendNext(): void {
+    const chunk = this.dequeue();
+    this.isBusy = chunk !== undefined;
+    if (!chunk) return;
+    chunk.isPending = false;
+    this.sentChunks += 1;
     this.events.after(this.chunkMs, () => {
-      sending.passed();
-      this.next();
+      chunk.onTransferred();
+      this.sendNext();
     });
   }
 
-  private take(): Sending | undefined {
-    let best: Sending | undefined;
+  private dequeue(): QueuedChunk | undefined {
+    let next: QueuedChunk | undefined;
     let kept = 0;
-    this.queue.forEach((sending) => {
-      if (!sending.isOpen) return;
-      this.queue[kept] = sending;
+    this.queue.forEach((chunk) => {
+      if (!chunk.isPending) return;
+      this.queue[kept] = chunk;
       kept += 1;
-      if (!best || sending.priority < best.priority) best = sending;
+      if (!next || chunk.priority < next.priority) next = chunk;
     });
     this.queue.length = kept;
-    if (best) this.queue.splice(this.queue.indexOf(best), 1);
-    return best;
+    if (next) this.queue.splice(this.queue.indexOf(next), 1);
+    return next;
   }
 }
--- a/bench/src/weights/virtualTransfer.ts
+++ b/bench/src/weights/virtualTransfer.ts
@@ -10,11 +10,11 @@
 } from '@laburnumstream/decisions';
 import type { ChunkFetch, ChunkTransfer, WeightMember } from '@laburnumstream/decisions';
 import { EventQueue } from './eventQueue.js';
-import { ReceivingLink } from './receivingLink.js';
-import { SendingLink } from './sendingLink.js';
-import type { Sending } from './sendingLink.js';
+import { FifoLink } from './receivingLink.js';
+import { PriorityLink } from './sendingLink.js';
+import type { QueuedChunk } from './sendingLink.js';
 
-/** The schemes that can be run on the same work. */
+/** Distribution schemes that can be compared on the same scenario. */
 export const VirtualScheme = {
   trees: 'trees',
   rendezvousTrees: 'rendezvousTrees',
@@ -26,49 +26,49 @@
 /** One of the values of {@link VirtualScheme}. */
 export type VirtualScheme = (typeof VirtualScheme)[keyof typeof VirtualScheme];
 
-/** The work of a run in virtual time. */
-export interface VirtualWork {
+/** Parameters of a transfer in virtual time. */
+export interface VirtualScenario {
   readonly scheme: VirtualScheme;
   readonly seed: number;
   readonly instances: number;
   readonly regions: number;
   readonly dataCentres: number;
   readonly chunks: number;
-  /** Share of members that die silently while the transfer runs. */
-  readonly dying: number;
-  /** Share of chunk sendings that arrive corrupt. */
-  readonly corrupt: number;
-  /** Copies per unit of time: the links of the origin, of an instance and between two regions. */
+  /** Share of members that stop responding while the transfer runs. */
+  readonly failingShare: number;
+  /** Share of chunk transfers that arrive corrupt. */
+  readonly corruptShare: number;
+  /** Relative link rates of the origin, of an instance and between two regions. */
   readonly originCopies: number;
   readonly instanceCopies: number;
   readonly regionCopies: number;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface VirtualOutcome {
-  /** Time until the last surviving member was whole, as a multiple of the physical lower bound. */
+  /** Time until the last surviving member was complete, over the physical lower bound. */
   readonly timeOverBound: number;
   readonly originCopies: number;
-  /** Copies that crossed into remote regions, a region. */
+  /** Copies transferred into remote regions, per remote region. */
   readonly remoteCopies: number;
   readonly incomplete: number;
-  readonly corrupt: number;
-  readonly died: number;
+  readonly corruptChunks: number;
+  readonly failedMembers: number;
 }
 
-/** Time in which an instance's link passes one copy, in milliseconds: the bound of the target. */
+/** Transfer time of one copy over an instance's link: the lower bound at the target size. */
 const copyMs = 30_000;
 const latencyMs = 1;
-/** A holder answers within this time whether it has the chunk, in milliseconds. */
-const waitMs = 1_500;
-const hedgeMs = 500;
-const maxMs = copyMs * 150;
+/** A holder that cannot send a chunk within this time reports so to the receiver. */
+const holderTimeoutMs = 1_500;
+const hedgeIntervalMs = 500;
+const maxRunMs = copyMs * 150;
 const swarmNeighbours = 20;
 const swarmSeeds = 8;
-const swarmExchangeMs = 500;
+const swarmExchangeIntervalMs = 500;
 
-interface Waiter extends Sending {
-  readonly by: VirtualMember;
+interface PendingRequest extends QueuedChunk {
+  readonly receiver: VirtualMember;
   readonly fetch: ChunkFetch;
 }
 
@@ -76,13 +76,13 @@
   readonly member: WeightMember;
   readonly transfer: ChunkTransfer;
   readonly held: Uint8Array;
-  readonly out: SendingLink;
-  readonly into: ReceivingLink;
-  readonly waiters: Map<number, Waiter[]>;
+  readonly uplink: PriorityLink;
+  readonly downlink: FifoLink;
+  readonly pendingRequests: Map<number, PendingRequest[]>;
   isAlive: boolean;
 }
 
-function membersOf({ instances, regions, dataCentres }: VirtualWork): WeightMember[] {
+function makeMembers({ instances, regions, dataCentres }: VirtualScenario): WeightMember[] {
   return Array.from({ length: instances }, (_, index) => {
     const home = index % dataCentres;
     const region = `region-${home % regions}`;
@@ -98,218 +98,225 @@
 
   private readonly members = new Map<string, VirtualMember>();
 
-  private readonly originLink: SendingLink;
+  private readonly originLink: PriorityLink;
 
-  private readonly regionLinks = new Map<string, ReceivingLink>();
+  private readonly regionLinks = new Map<string, FifoLink>();
 
   private readonly instanceMs: number;
 
-  private readonly open = new WeakMap<ChunkFetch, Waiter>();
+  private readonly requestsByFetch = new WeakMap<ChunkFetch, PendingRequest>();
 
-  private missing = 0;
+  private incomplete = 0;
 
-  private died = 0;
+  private failedMembers = 0;
 
-  private corrupt = 0;
+  private corruptChunks = 0;
 
   private finishedAt = 0;
 
-  private readonly list: readonly WeightMember[];
+  private readonly memberList: readonly WeightMember[];
 
   private readonly topology: Topology;
 
-  constructor(private readonly work: VirtualWork) {
-    this.list = membersOf(work);
-    this.topology = new Topology(`version-${work.seed}`, this.list, 'region-0');
-    this.random = new SeededRandom(work.seed);
-    this.instanceMs = copyMs / work.chunks;
-    const originMs = (copyMs * work.instanceCopies) / work.originCopies / work.chunks;
-    this.originLink = new SendingLink(this.events, originMs);
+  constructor(private readonly scenario: VirtualScenario) {
+    this.memberList = makeMembers(scenario);
+    this.topology = new Topology(`version-${scenario.seed}`, this.memberList, 'region-0');
+    this.random = new SeededRandom(scenario.seed);
+    this.instanceMs = copyMs / scenario.chunks;
+    const originMs = (copyMs * scenario.instanceCopies) / scenario.originCopies / scenario.chunks;
+    this.originLink = new PriorityLink(this.events, originMs);
     this.addMembers();
-    this.missing = this.members.size;
+    this.incomplete = this.members.size;
   }
 
   run(): VirtualOutcome {
     const all = [...this.members.values()];
-    this.scheduleDeaths(all);
-    all.forEach((each) => this.events.at(this.random.next() * latencyMs, () => this.begin(each)));
-    const isDone = () => this.missing === 0 || this.events.now > maxMs;
+    this.scheduleFailures(all);
+    all.forEach((member) =>
+      this.events.at(this.random.next() * latencyMs, () => this.startMember(member)),
+    );
+    const isDone = () => this.incomplete === 0 || this.events.now > maxRunMs;
     this.events.run(isDone);
-    const { chunks } = this.work;
-    const remote = [...this.regionLinks.values()].reduce((sum, { passed }) => sum + passed, 0);
+    const { chunks } = this.scenario;
+    const remote = [...this.regionLinks.values()].reduce(
+      (sum, { transferredChunks }) => sum + transferredChunks,
+      0,
+    );
     return {
-      timeOverBound: this.finishedAt / this.boundMs(),
-      originCopies: this.originLink.sent / chunks,
-      remoteCopies: remote / chunks / Math.max(1, this.work.regions - 1),
-      incomplete: this.missing,
-      corrupt: this.corrupt,
-      died: this.died,
+      timeOverBound: this.finishedAt / this.lowerBoundMs(),
+      originCopies: this.originLink.sentChunks / chunks,
+      remoteCopies: remote / chunks / Math.max(1, this.scenario.regions - 1),
+      incomplete: this.incomplete,
+      corruptChunks: this.corruptChunks,
+      failedMembers: this.failedMembers,
     };
   }
 
-  /** One copy has to pass an instance's link, the origin's link and the links into a remote region. */
-  private boundMs(): number {
-    const { instanceCopies, originCopies, regionCopies, regions } = this.work;
+  /** One copy must pass an instance's link, the origin's link and the links into a remote region. */
+  private lowerBoundMs(): number {
+    const { instanceCopies, originCopies, regionCopies, regions } = this.scenario;
     const intoRegion = regions > 1 ? regionCopies * (regions - 1) : Infinity;
     return (copyMs * instanceCopies) / Math.min(instanceCopies, originCopies, intoRegion);
   }
 
   private addMembers(): void {
-    const { list, topology } = this;
-    const { scheme, chunks } = this.work;
-    list.forEach((member) => {
+    const { memberList, topology } = this;
+    const { scheme, chunks } = this.scenario;
+    memberList.forEach((member) => {
       const held = new Uint8Array(chunks);
       const transfer =
         scheme === VirtualScheme.swarm
-          ? this.swarmOf(list)
+          ? this.makeSwarm(memberList)
           : new Transfer(chunks, member, topology, sourceOrders[scheme]);
       this.members.set(member.name, {
         member,
         transfer,
         held,
-        out: new SendingLink(this.events, this.instanceMs),
-        into: new ReceivingLink(this.instanceMs),
-        waiters: new Map(),
+        uplink: new PriorityLink(this.events, this.instanceMs),
+        downlink: new FifoLink(this.instanceMs),
+        pendingRequests: new Map(),
         isAlive: true,
       });
     });
   }
 
-  private swarmOf(list: readonly WeightMember[]): SwarmTransfer {
+  private makeSwarm(memberList: readonly WeightMember[]): SwarmTransfer {
     const neighbours = Array.from({ length: swarmNeighbours }, () => ({
-      member: list[Math.floor(this.random.next() * list.length)]!,
-      held: new Uint8Array(this.work.chunks),
+      member: memberList[Math.floor(this.random.next() * memberList.length)]!,
+      held: new Uint8Array(this.scenario.chunks),
     }));
     const transfer = new SwarmTransfer(
-      this.work.chunks,
+      this.scenario.chunks,
       neighbours,
       this.members.size < swarmSeeds,
       this.random,
     );
     const exchange = (): void => {
       neighbours.forEach(({ member, held }) => held.set(this.members.get(member.name)!.held));
-      if (!transfer.isComplete) this.events.after(swarmExchangeMs, exchange);
+      if (!transfer.isComplete) this.events.after(swarmExchangeIntervalMs, exchange);
     };
-    this.events.at(this.random.next() * swarmExchangeMs, exchange);
+    this.events.at(this.random.next() * swarmExchangeIntervalMs, exchange);
     return transfer;
   }
 
-  private scheduleDeaths(all: readonly VirtualMember[]): void {
-    const count = Math.round(all.length * this.work.dying);
-    const left = [...all];
+  private scheduleFailures(all: readonly VirtualMember[]): void {
+    const count = Math.round(all.length * this.scenario.failingShare);
+    const candidates = [...all];
     for (let index = 0; index < count; index += 1) {
-      const [victim] = left.splice(Math.floor(this.random.next() * left.length), 1);
-      this.events.at(this.random.next() * this.boundMs(), () => this.kill(victim!));
+      const [victim] = candidates.splice(Math.floor(this.random.next() * candidates.length), 1);
+      this.events.at(this.random.next() * this.lowerBoundMs(), () => this.kill(victim!));
     }
   }
 
   private kill(victim: VirtualMember): void {
-    if (!victim.transfer.isComplete) this.missing -= 1;
-    this.died += 1;
+    if (!victim.transfer.isComplete) this.incomplete -= 1;
+    this.failedMembers += 1;
     Object.assign(victim, { isAlive: false });
   }
 
-  private begin(each: VirtualMember): void {
-    this.launch(each, each.transfer.start(this.events.now));
+  private startMember(member: VirtualMember): void {
+    this.startFetches(member, member.transfer.start(this.events.now));
     const check = (): void => {
-      if (!each.isAlive || each.transfer.isComplete) return;
-      this.launch(each, each.transfer.hedge(this.events.now));
-      this.launch(each, each.transfer.start(this.events.now));
-      this.events.after(hedgeMs, check);
+      if (!member.isAlive || member.transfer.isComplete) return;
+      this.startFetches(member, member.transfer.hedge(this.events.now));
+      this.startFetches(member, member.transfer.start(this.events.now));
+      this.events.after(hedgeIntervalMs, check);
     };
-    this.events.after(hedgeMs, check);
+    this.events.after(hedgeIntervalMs, check);
   }
 
-  private launch(by: VirtualMember, fetches: readonly ChunkFetch[]): void {
+  private startFetches(receiver: VirtualMember, fetches: readonly ChunkFetch[]): void {
     fetches.forEach((fetch) => {
       const { source, chunk } = fetch;
       if (source === origin) {
-        const passed = (): void => this.arrive(by, fetch, 'region-0');
-        this.originLink.send({ priority: chunk, isOpen: true, passed });
+        const onTransferred = (): void => this.deliver(receiver, fetch, 'region-0');
+        this.originLink.send({ priority: chunk, isPending: true, onTransferred });
         return;
       }
       const holder = this.members.get(source.name)!;
-      this.events.after(latencyMs, () => this.request(holder, by, fetch));
+      this.events.after(latencyMs, () => this.request(holder, receiver, fetch));
     });
   }
 
-  private request(holder: VirtualMember, by: VirtualMember, fetch: ChunkFetch): void {
+  private request(holder: VirtualMember, receiver: VirtualMember, fetch: ChunkFetch): void {
     if (!holder.isAlive) return;
-    const passed = (): void => {
-      if (holder.isAlive) this.arrive(by, fetch, holder.member.region);
+    const onTransferred = (): void => {
+      if (holder.isAlive) this.deliver(receiver, fetch, holder.member.region);
     };
-    const waiter = {
-      by,
+    const pending = {
+      receiver,
       fetch,
-      priority: sendingPriority(this.topology, by.member.name, fetch.chunk),
-      isOpen: true,
-      passed,
+      priority: sendingPriority(this.topology, receiver.member.name, fetch.chunk),
+      isPending: true,
+      onTransferred,
     };
-    this.open.set(fetch, waiter);
-    if (holder.held[fetch.chunk]) holder.out.send(waiter);
+    this.requestsByFetch.set(fetch, pending);
+    if (holder.held[fetch.chunk]) holder.uplink.send(pending);
     else {
-      const waiters = holder.waiters.get(fetch.chunk);
-      if (waiters) waiters.push(waiter);
-      else holder.waiters.set(fetch.chunk, [waiter]);
+      const queued = holder.pendingRequests.get(fetch.chunk);
+      if (queued) queued.push(pending);
+      else holder.pendingRequests.set(fetch.chunk, [pending]);
     }
-    this.events.after(waitMs, () => this.answerNotYet(holder, waiter));
+    this.events.after(holderTimeoutMs, () => this.rejectIfPending(holder, pending));
   }
 
-  private answerNotYet(holder: VirtualMember, waiter: Waiter): void {
-    const { by, fetch, isOpen } = waiter;
-    if (!isOpen || !holder.isAlive) return;
-    Object.assign(waiter, { isOpen: false });
-    if (!by.isAlive || by.transfer.isComplete) return;
-    by.transfer.failed(fetch, FetchFault.notYet, this.events.now);
-    this.launch(by, by.transfer.start(this.events.now));
+  private rejectIfPending(holder: VirtualMember, pending: PendingRequest): void {
+    const { receiver, fetch, isPending } = pending;
+    if (!isPending || !holder.isAlive) return;
+    Object.assign(pending, { isPending: false });
+    if (!receiver.isAlive || receiver.transfer.isComplete) return;
+    receiver.transfer.failed(fetch, FetchFault.notYet, this.events.now);
+    this.startFetches(receiver, receiver.transfer.start(this.events.now));
   }
 
-  private arrive(by: VirtualMember, fetch: ChunkFetch, fromRegion: string): void {
+  private deliver(receiver: VirtualMember, fetch: ChunkFetch, fromRegion: string): void {
     const { now } = this.events;
-    const crossed = this.regionLink(fromRegion, by.member.region)?.pass(now) ?? now;
-    this.events.at(crossed, () => {
-      this.events.at(by.into.pass(this.events.now) + latencyMs, () => this.receive(by, fetch));
+    const enteredAt = this.regionLink(fromRegion, receiver.member.region)?.transfer(now) ?? now;
+    this.events.at(enteredAt, () => {
+      this.events.at(receiver.downlink.transfer(this.events.now) + latencyMs, () =>
+        this.receive(receiver, fetch),
+      );
     });
   }
 
-  private receive(by: VirtualMember, fetch: ChunkFetch): void {
-    if (!by.isAlive || by.transfer.isComplete) return;
+  private receive(receiver: VirtualMember, fetch: ChunkFetch): void {
+    if (!receiver.isAlive || receiver.transfer.isComplete) return;
     const { now } = this.events;
-    if (this.random.next() < this.work.corrupt) {
-      this.corrupt += 1;
-      by.transfer.failed(fetch, FetchFault.corrupt, now);
+    if (this.random.next() < this.scenario.corruptShare) {
+      this.corruptChunks += 1;
+      receiver.transfer.failed(fetch, FetchFault.corrupt, now);
     } else {
-      by.transfer.succeeded(fetch, now).forEach((other) => {
-        const waiter = this.open.get(other);
-        if (waiter) waiter.isOpen = false;
+      receiver.transfer.succeeded(fetch, now).forEach((other) => {
+        const pending = this.requestsByFetch.get(other);
+        if (pending) pending.isPending = false;
       });
-      this.hold(by, fetch.chunk);
+      this.storeChunk(receiver, fetch.chunk);
     }
-    if (by.transfer.isComplete) {
-      this.missing -= 1;
+    if (receiver.transfer.isComplete) {
+      this.incomplete -= 1;
       this.finishedAt = now;
-    } else this.launch(by, by.transfer.start(now));
+    } else this.startFetches(receiver, receiver.transfer.start(now));
   }
 
-  private hold(by: VirtualMember, chunk: number): void {
-    if (by.held[chunk]) return;
-    const { held } = by;
+  private storeChunk(receiver: VirtualMember, chunk: number): void {
+    if (receiver.held[chunk]) return;
+    const { held } = receiver;
     held[chunk] = 1;
-    const waiters = by.waiters.get(chunk) ?? [];
-    by.waiters.delete(chunk);
-    waiters.forEach((waiter) => by.out.send(waiter));
+    const queued = receiver.pendingRequests.get(chunk) ?? [];
+    receiver.pendingRequests.delete(chunk);
+    queued.forEach((pending) => receiver.uplink.send(pending));
   }
 
-  private regionLink(from: string, to: string): ReceivingLink | undefined {
+  private regionLink(from: string, to: string): FifoLink | undefined {
     if (from === to) return undefined;
     const key = `${from}/${to}`;
-    const link = this.regionLinks.get(key) ?? new ReceivingLink(this.regionMs());
+    const link = this.regionLinks.get(key) ?? new FifoLink(this.regionMs());
     this.regionLinks.set(key, link);
     return link;
   }
 
   private regionMs(): number {
-    const { instanceCopies, regionCopies, chunks } = this.work;
+    const { instanceCopies, regionCopies, chunks } = this.scenario;
     return (copyMs * instanceCopies) / regionCopies / chunks;
   }
 }
--- a/bench/src/weights/weightWorker.ts
+++ b/bench/src/weights/weightWorker.ts
@@ -13,10 +13,10 @@
 import { HttpWeightOrigin } from '@laburnumstream/clients';
 import { HistogramMetrics, LoggerFactory, SystemClock } from '@laburnumstream/runtime';
 
-/** What a worker process is started with. */
+/** The first message to a worker process. */
 export interface WorkerTask {
   readonly members: readonly Instance[];
-  /** All members as each region sees them. */
+  /** All members by region, with the addresses under which that region reaches them. */
   readonly lists: Readonly<Record<string, readonly Instance[]>>;
   readonly origins: Readonly<Record<string, string>>;
   readonly originRegion: string;
@@ -25,8 +25,8 @@
   readonly order: keyof typeof sourceOrders;
 }
 
-/** What a worker tells when a member is whole. */
-export interface WholeReport {
+/** Sent by a worker when a member holds the complete version. */
+export interface CompletionReport {
   readonly name: string;
   readonly at: number;
 }
@@ -58,7 +58,7 @@
   const fetcher = new WeightFetcher(routes, store, clock, new HistogramMetrics(), log);
   return async () => {
     await fetcher.fetch(task.wanted, new AbortController().signal);
-    process.send!({ name: member.name, at: Date.now() } satisfies WholeReport);
+    process.send!({ name: member.name, at: Date.now() } satisfies CompletionReport);
   };
 }
 
--- a/features/steps/admission.steps.ts
+++ b/features/steps/admission.steps.ts
@@ -2,7 +2,7 @@
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import { Caller, Fleet } from '@laburnumstream/bench';
-import type { FleetShape, Seen } from '@laburnumstream/bench';
+import type { FleetShape, CompletionResult } from '@laburnumstream/bench';
 import { AdmissionLimit, LatencyJump } from '@laburnumstream/decisions';
 import { HttpModelEngine } from '@laburnumstream/clients';
 import { EngineStandIn } from '@laburnumstream/standins';
@@ -20,7 +20,7 @@
   admissionLimit: AdmissionLimit;
   admissionFleet: Fleet;
   admissionEngine: EngineStandIn;
-  admissionSeen: Seen[];
+  admissionSeen: CompletionResult[];
 }
 
 const model: fc.Arbitrary<AdmissionModel> = fc.record({
@@ -169,15 +169,19 @@
 });
 
 const shape: FleetShape = {
-  centres: [{ name: 'north-a', region: 'north', entries: 2 }],
+  dataCentres: [{ name: 'north-a', region: 'north', entries: 2 }],
   services: [{ name: 'assistant', kind: 'engine', endpoints: [1] }],
   originRegion: 'north',
 };
 
 /** Keeps `count` requests in flight over all entries until `isDone`. */
-async function keepBusy(fleet: Fleet, count: number, isDone: () => boolean): Promise<Seen[]> {
-  const callers = fleet.entries.map((entry) => new Caller(entry.callers));
-  const seen: Seen[] = [];
+async function keepBusy(
+  fleet: Fleet,
+  count: number,
+  isDone: () => boolean,
+): Promise<CompletionResult[]> {
+  const callers = fleet.entries.map((entry) => new Caller(entry.callerUrl));
+  const seen: CompletionResult[] = [];
   const loop = async (index: number) => {
     const caller = callers[index % callers.length]!;
     for (let turn = 0; !isDone(); turn += 1) {
@@ -199,9 +203,12 @@
     const { admissionFleet: fleet, admissionEngine } = this;
     let isDone = false;
     const load = keepBusy(fleet, 40, () => isDone);
-    await fleet.until(() => admissionEngine.running > coldCapacity * 2, 'the limit has grown');
+    await fleet.waitUntil(() => admissionEngine.running > coldCapacity * 2, 'the limit has grown');
     admissionEngine.restart();
-    await fleet.until(() => admissionEngine.running > coldCapacity * 2, 'the limit grows again');
+    await fleet.waitUntil(
+      () => admissionEngine.running > coldCapacity * 2,
+      'the limit grows again',
+    );
     isDone = true;
     this.admissionSeen = await load;
   },
@@ -214,7 +221,8 @@
     assert.ok(mostWhileCold > 0);
     assert.ok(mostWhileCold <= behaviour.coldCapacity, `${mostWhileCold}`);
     assert.equal(crashes, 0);
-    const isTyped = ({ ended, error }: Seen) => ended || typeof error?.type === 'string';
+    const isTyped = ({ ended, error }: CompletionResult) =>
+      ended || typeof error?.type === 'string';
     assert.ok(this.admissionSeen.every(isTyped));
   },
 );
--- a/features/steps/answers.steps.ts
+++ b/features/steps/answers.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Caller, Fleet, small } from '@laburnumstream/bench';
-import type { FleetAgent, Seen } from '@laburnumstream/bench';
+import { Caller, Fleet, smallFleet } from '@laburnumstream/bench';
+import type { FleetAgent, CompletionResult } from '@laburnumstream/bench';
 import { AnswerAssembly, FrameOrder, answerDigest } from '@laburnumstream/decisions';
 import { SeededRandom } from '@laburnumstream/common';
 import { sha256 } from '@laburnumstream/runtime';
@@ -16,14 +16,14 @@
 interface AnswersWorld {
   answersFleet: Fleet;
   answersCaller: Caller;
-  answersSeen: Seen;
+  answersSeen: CompletionResult;
   answersResults: { assembled: boolean; naive: boolean }[];
 }
 
 Given('a fleet with relays that streams slowly', async function start(this: AnswersWorld) {
   const engine = { tokenMs };
-  this.answersFleet = await Fleet.start(small, { engine, relays: true, logLevel: 'warn' });
-  this.answersCaller = new Caller(this.answersFleet.entries[0]!.callers);
+  this.answersFleet = await Fleet.start(smallFleet, { engine, relays: true, logLevel: 'warn' });
+  this.answersCaller = new Caller(this.answersFleet.entries[0]!.callerUrl);
 });
 
 After(async function close(this: Partial<AnswersWorld>) {
--- a/features/steps/atMostOnce.steps.ts
+++ b/features/steps/atMostOnce.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Caller, Fleet, small } from '@laburnumstream/bench';
+import { Caller, Fleet, smallFleet } from '@laburnumstream/bench';
 import { eventually } from '../support/assertions.js';
 
 interface OrderAnswer {
@@ -25,8 +25,8 @@
 const orderBody = '{"tags":40}';
 
 Given('a fleet with order desks', async function start(this: OrdersWorld) {
-  this.ordersFleet = await Fleet.start(small, { logLevel: 'warn' });
-  this.orderCallers = this.ordersFleet.entries.map(({ callers }) => new Caller(callers));
+  this.ordersFleet = await Fleet.start(smallFleet, { logLevel: 'warn' });
+  this.orderCallers = this.ordersFleet.entries.map(({ callerUrl: callers }) => new Caller(callers));
   this.orderAnswers = [];
 });
 
--- a/features/steps/configurationProcesses.steps.ts
+++ b/features/steps/configurationProcesses.steps.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Fleet, operatorToken, revertsOf } from '@laburnumstream/bench';
+import { Fleet, operatorToken, countReverts } from '@laburnumstream/bench';
 import type { FleetEntry } from '@laburnumstream/bench';
 import { sha256 } from '@laburnumstream/runtime';
 import { eventually } from '../support/assertions.js';
@@ -12,7 +12,7 @@
 
 const takeMs = 30_000;
 const shape = {
-  centres: [{ name: 'north-a', region: 'north', entries: 4 }],
+  dataCentres: [{ name: 'north-a', region: 'north', entries: 4 }],
   services: [],
   originRegion: 'north',
 };
@@ -28,7 +28,7 @@
 
 Given('four entries without agents', async function start(this: ProcessesWorld) {
   const options = { platformTimeoutMs: 10_000, changeTimeoutMs: 30_000 };
-  this.entriesFleet = await Fleet.start(shape, { logLevel: 'info', options });
+  this.entriesFleet = await Fleet.start(shape, { logLevel: 'info', optionOverrides: options });
 });
 
 After(async function close(this: Partial<ProcessesWorld>) {
@@ -40,7 +40,7 @@
   return Number(body.revision);
 }
 
-async function watches({ operators }: FleetEntry): Promise<boolean> {
+async function watches({ operatorUrl: operators }: FleetEntry): Promise<boolean> {
   const response = await fetch(`${operators}/metrics`);
   return /^configuration_watching 1$/m.test(await response.text());
 }
@@ -71,7 +71,7 @@
     const { revision } = JSON.parse(line) as { revision: number };
     return { revision, atMs: 0 };
   });
-  return revertsOf(history);
+  return countReverts(history);
 }
 
 When(
@@ -135,7 +135,7 @@
 });
 
 When('an operator uses the commands', async function use(this: ProcessesWorld) {
-  const { operators } = this.entriesFleet.entries[0]!;
+  const { operatorUrl: operators } = this.entriesFleet.entries[0]!;
   const folder = mkdtempSync(join(tmpdir(), 'laburnumstream-commands-'));
   const write = (name: string, value: object): string => {
     const file = join(folder, name);
@@ -193,7 +193,7 @@
   path: string,
   body?: object,
 ) {
-  const { operators } = world.entriesFleet.entries[0]!;
+  const { operatorUrl: operators } = world.entriesFleet.entries[0]!;
   const response = await fetch(`${operators}/admin/v1/${path}`, {
     method,
     headers: { authorization: `Bearer ${token}` },
--- a/features/steps/fuzz.steps.ts
+++ b/features/steps/fuzz.steps.ts
@@ -3,7 +3,7 @@
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import { request } from 'undici';
-import { Caller, Fleet, operatorToken, residentMB, small } from '@laburnumstream/bench';
+import { Caller, Fleet, operatorToken, residentMB, smallFleet } from '@laburnumstream/bench';
 import type { FleetEntry } from '@laburnumstream/bench';
 import { InvalidInput } from '@laburnumstream/common';
 import { checkManifest, parseConfiguration } from '@laburnumstream/decisions';
@@ -81,7 +81,7 @@
 });
 
 Given('a fleet to fuzz', async function start(this: FuzzWorld) {
-  this.fuzzFleet = await Fleet.start(small, { logLevel: 'error' });
+  this.fuzzFleet = await Fleet.start(smallFleet, { logLevel: 'error' });
   this.memoryBefore = residentMB(entryOf(this).process.pid);
 });
 
@@ -116,7 +116,7 @@
     .tuple(services, kinds)
     .map(([service, kind]) => `/v1/services/${service}/${kind}`);
   const paths = inputs(path, n).map((each) => each.replace('desk/calls', 'none/calls'));
-  this.answers = await sendAll(entryOf(this).callers, 'token-of-workspace-0', paths, bodies);
+  this.answers = await sendAll(entryOf(this).callerUrl, 'token-of-workspace-0', paths, bodies);
 });
 
 When(
@@ -127,12 +127,12 @@
     );
     const part = fc.constantFrom('configuration', 'exceptions', 'roll-outs/none', 'x', 'status');
     const paths = inputs(part, n).map((each) => `/admin/v1/${each}`);
-    this.answers = await sendAll(entryOf(this).operators, operatorToken, paths, bodies);
+    this.answers = await sendAll(entryOf(this).operatorUrl, operatorToken, paths, bodies);
   },
 );
 
 async function assertServes(fleet: Fleet): Promise<void> {
-  const caller = new Caller(fleet.entries[0]!.callers);
+  const caller = new Caller(fleet.entries[0]!.callerUrl);
   const seen = await caller.complete('assistant', 'Still there?');
   await caller.close();
   assert.equal(seen.ended, true);
@@ -168,7 +168,7 @@
   async function fuzz(this: FuzzWorld, count: number) {
     const preface = Buffer.from('PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n');
     const bytes = inputs(fc.tuple(fc.boolean(), fc.uint8Array({ maxLength: 200 })), count);
-    const addresses = [entryOf(this).internal, this.fuzzFleet.agents[0]!.internal];
+    const addresses = [entryOf(this).internalUrl, this.fuzzFleet.agents[0]!.internalUrl];
     for (const [withPreface, part] of bytes) {
       const content = withPreface ? Buffer.concat([preface, part]) : part;
       await Promise.all(addresses.map((address) => sendBytes(address, content)));
--- a/features/steps/heavyDays.steps.ts
+++ b/features/steps/heavyDays.steps.ts
@@ -13,7 +13,7 @@
 const wayNames = ['own', 'bare-cap', 'first-come'] as const;
 
 async function play(way: string, engines: number): Promise<HeavyOutcome[]> {
-  const shape = { engines, entries: 7, regions: 3, factor: 1, seconds, way };
+  const shape = { engines, entries: 7, regions: 3, rateFactor: 1, seconds, policy: way };
   return Promise.all(seeds.map((seed) => new HeavyDay({ ...shape, seed }).run()));
 }
 
@@ -72,7 +72,7 @@
 Then('0.9 of the best that knows all sizes is in time', function best(this: HeavyWorld) {
   const reached = mean(
     this.heavy.get('own')!,
-    ({ creditInTime, creditAtBest }) => creditInTime / creditAtBest,
+    ({ creditInTime, optimalCredit: creditAtBest }) => creditInTime / creditAtBest,
   );
   assert.ok(reached >= 0.9, `${reached}`);
 });
@@ -81,9 +81,12 @@
   'workspaces, kinds and the largest tenth are served at least 0.95 times as often as all',
   function shares(this: HeavyWorld) {
     const own = this.heavy.get('own')!;
-    const workspace = mean(own, ({ leastWorkspaceShare }) => leastWorkspaceShare);
-    const kind = mean(own, ({ leastKindShare }) => leastKindShare);
-    const largest = mean(own, ({ largestShare }) => largestShare);
+    const workspace = mean(
+      own,
+      ({ minWorkspaceShare: leastWorkspaceShare }) => leastWorkspaceShare,
+    );
+    const kind = mean(own, ({ minKindShare: leastKindShare }) => leastKindShare);
+    const largest = mean(own, ({ largestTenthShare: largestShare }) => largestShare);
     assert.ok(
       workspace >= 0.95 && kind >= 0.95 && largest >= 0.95,
       `workspace ${workspace}, kind ${kind}, largest ${largest}`,
--- a/features/steps/histories.steps.ts
+++ b/features/steps/histories.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
-import { FaultKind, Plant, RequestKind, drawPlan, runHistory } from '@laburnumstream/bench';
+import { FaultKind, PlantedFault, RequestKind, drawPlan, runHistory } from '@laburnumstream/bench';
 import type { HistoryPlan, Verdicts } from '@laburnumstream/bench';
 import fc from 'fast-check';
 
@@ -24,7 +24,7 @@
       atMs: moment,
       agent: fc.integer({ min: 0, max: 2 }),
       entry: fc.integer({ min: 0, max: 1 }),
-      lengthMs: fc.integer({ min: 1, max: 10_000 }),
+      durationMs: fc.integer({ min: 1, max: 10_000 }),
     }),
     { maxLength: 8 },
   ),
@@ -33,7 +33,7 @@
       kind: fc.constantFrom(...Object.values(RequestKind)),
       atMs: moment,
       entry: fc.integer({ min: 0, max: 1 }),
-      hasty: fc.boolean(),
+      sendsConcurrentCopy: fc.boolean(),
     }),
     { minLength: 1, maxLength: 10 },
   ),
@@ -61,10 +61,10 @@
 
 When(
   'histories run with the planted fault {word}',
-  async function plant(this: HistoriesWorld, name: keyof typeof Plant) {
+  async function plant(this: HistoriesWorld, name: keyof typeof PlantedFault) {
     this.plantedVerdicts = [];
     for (let seed = 1; seed <= plantedHistories; seed += 1) {
-      this.plantedVerdicts.push(await runHistory(drawPlan(seed, 6, 12), Plant[name]));
+      this.plantedVerdicts.push(await runHistory(drawPlan(seed, 6, 12), PlantedFault[name]));
     }
   },
 );
--- a/features/steps/holderTransfer.steps.ts
+++ b/features/steps/holderTransfer.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { HolderRun } from '@laburnumstream/bench';
-import type { HolderOutcome, HolderWork } from '@laburnumstream/bench';
+import type { HolderOutcome, HolderScenario } from '@laburnumstream/bench';
 import { isWorthFinishing } from '@laburnumstream/decisions';
 
 interface HolderWorld {
@@ -11,7 +11,7 @@
 const seeds = [1, 2, 3] as const;
 const secondMs = 1_000;
 const never = { fromMs: 0, untilMs: 0 };
-const work: Omit<HolderWork, 'seed'> = {
+const work: Omit<HolderScenario, 'seed'> = {
   regions: [7, 7, 5],
   holders: [0, 0, 0],
   chunks: 48,
@@ -20,14 +20,14 @@
   linkRate: 6.58e6,
   regionRate: 18.2e6,
   servingShare: 0.85,
-  givers: 3,
-  window: 4,
-  queue: 0,
-  dying: 0,
+  maxUploads: 3,
+  fetchWindow: 4,
+  maxQueuedUploads: 0,
+  failingShare: 0,
   originDown: never,
 };
 const originMs = ((work.chunks * work.chunkBytes * 8) / work.originRate) * secondMs;
-const origins: Readonly<Record<string, HolderWork['originDown']>> = {
+const origins: Readonly<Record<string, HolderScenario['originDown']>> = {
   up: never,
   'away after 1600 ms': { fromMs: 1_600, untilMs: 60_000 },
   'away for 400 to 3000': { fromMs: 400, untilMs: 3_000 },
@@ -44,7 +44,7 @@
 Then(
   /^all pieces have left the origin within ([\d.]+) times their time on its link$/,
   function left(this: HolderWorld, bound: string) {
-    this.holderOutcomes.forEach(({ leftOriginMs }) =>
+    this.holderOutcomes.forEach(({ originDoneMs: leftOriginMs }) =>
       assert.ok(
         leftOriginMs <= originMs * Number(bound),
         `${leftOriginMs} ms, ${originMs} at best`,
--- a/features/steps/outage.steps.ts
+++ b/features/steps/outage.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Caller, Fleet, freePorts, small } from '@laburnumstream/bench';
+import { Caller, Fleet, freePorts, smallFleet } from '@laburnumstream/bench';
 import { SeededRandom } from '@laburnumstream/common';
 import { Directory, Prober } from '@laburnumstream/entry';
 import { LinkPool, Secrets, serveInternal } from '@laburnumstream/links';
@@ -28,8 +28,8 @@
 const isOpen = (): boolean => true;
 
 Given('a fleet for outages', async function start(this: OutageWorld) {
-  this.outageFleet = await Fleet.start(small, { logLevel: 'warn' });
-  this.outageCaller = new Caller(this.outageFleet.entries[1]!.callers);
+  this.outageFleet = await Fleet.start(smallFleet, { logLevel: 'warn' });
+  this.outageCaller = new Caller(this.outageFleet.entries[1]!.callerUrl);
 });
 
 After(async function close(this: Partial<OutageWorld>) {
@@ -67,11 +67,11 @@
   async function check(this: OutageWorld) {
     const [entry] = this.outageFleet.entries;
     const isReady = async (): Promise<boolean> => {
-      const answer = await fetch(`${entry!.callers}/ready`).catch(() => undefined);
+      const answer = await fetch(`${entry!.callerUrl}/ready`).catch(() => undefined);
       return answer?.status === 200;
     };
     await eventually(isReady, 'the new entry is ready', 30_000);
-    const caller = new Caller(entry!.callers);
+    const caller = new Caller(entry!.callerUrl);
     const seen = await caller.complete(service, 'a draft', { maxTokens: 2 });
     await caller.close();
     assert.equal(seen.ended, true, JSON.stringify(seen.error));
--- a/features/steps/overload.steps.ts
+++ b/features/steps/overload.steps.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then } from '@cucumber/cucumber';
 import { Caller, Fleet } from '@laburnumstream/bench';
-import type { FleetShape, Seen } from '@laburnumstream/bench';
+import type { FleetShape, CompletionResult } from '@laburnumstream/bench';
 import { RetryBudget } from '@laburnumstream/decisions';
 
 const shape: FleetShape = {
-  centres: [{ name: 'north-a', region: 'north', entries: 2 }],
+  dataCentres: [{ name: 'north-a', region: 'north', entries: 2 }],
   services: [{ name: 'assistant', kind: 'engine', endpoints: [2] }],
   originRegion: 'north',
 };
@@ -13,8 +13,8 @@
 interface OverloadWorld {
   overloadFleet: Fleet;
   overloadMost: number;
-  overloadLarge: Seen[];
-  overloadSmall: Seen[];
+  overloadLarge: CompletionResult[];
+  overloadSmall: CompletionResult[];
 }
 
 Then(
@@ -42,8 +42,8 @@
   for (let retry = 0; retry < 20; retry += 1) assert.ok(budget.spend('small'));
 });
 
-async function flood(fleet: Fleet): Promise<Seen[]> {
-  const callers = fleet.entries.flatMap(({ callers: address }) =>
+async function flood(fleet: Fleet): Promise<CompletionResult[]> {
+  const callers = fleet.entries.flatMap(({ callerUrl: address }) =>
     ['token-of-workspace-0', 'token-of-workspace-1'].map((token) => new Caller(address, token)),
   );
   const answers = Array.from({ length: 200 }, (_, index) =>
@@ -54,9 +54,9 @@
   return seen;
 }
 
-async function trickle(fleet: Fleet): Promise<Seen[]> {
-  const caller = new Caller(fleet.entries[0]!.callers, 'token-of-workspace-2');
-  const seen: Seen[] = [];
+async function trickle(fleet: Fleet): Promise<CompletionResult[]> {
+  const caller = new Caller(fleet.entries[0]!.callerUrl, 'token-of-workspace-2');
+  const seen: CompletionResult[] = [];
   for (let index = 0; index < 10; index += 1) {
     seen.push(await caller.complete('assistant', `small ${index}`, { maxTokens: 4 }));
   }
@@ -70,7 +70,11 @@
     const engine = { capacity, coldCapacity: capacity, prefillMs: 20, tokenMs: 5 };
     // The silence of a process that waits for a processor is not the subject here.
     const options = { silenceMs: 20_000 };
-    this.overloadFleet = await Fleet.start(shape, { engine, options, logLevel: 'warn' });
+    this.overloadFleet = await Fleet.start(shape, {
+      engine,
+      optionOverrides: options,
+      logLevel: 'warn',
+    });
     const engines = this.overloadFleet.agents.map((agent) => agent.engine!);
     this.overloadMost = 0;
     const sampler = setInterval(() => {
--- a/features/steps/path.steps.ts
+++ b/features/steps/path.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When, setDefaultTimeout } from '@cucumber/cucumber';
-import { Caller, Fleet, small } from '@laburnumstream/bench';
-import type { Seen } from '@laburnumstream/bench';
+import { Caller, Fleet, smallFleet } from '@laburnumstream/bench';
+import type { CompletionResult } from '@laburnumstream/bench';
 import { makeContent, tokenOf } from '@laburnumstream/standins';
 import { sha256 } from '@laburnumstream/runtime';
 
@@ -17,14 +17,14 @@
 interface PathWorld {
   fleet: Fleet;
   caller: Caller;
-  seen: Seen;
+  seen: CompletionResult;
   order: { status: number };
   exitCode: number | null;
 }
 
 Given('a small fleet', async function start(this: PathWorld) {
-  this.fleet = await Fleet.start(small, { engine: { tokenMs: 5 }, logLevel: 'warn' });
-  this.caller = new Caller(this.fleet.entries[0]!.callers);
+  this.fleet = await Fleet.start(smallFleet, { engine: { tokenMs: 5 }, logLevel: 'warn' });
+  this.caller = new Caller(this.fleet.entries[0]!.callerUrl);
 });
 
 After(async function close(this: Partial<PathWorld>) {
@@ -61,7 +61,7 @@
 When('version v2 is rolled out', async function rollOut(this: PathWorld) {
   this.fleet.origin.sentBytes = 0;
   await this.fleet.rollOut(model, 'v2');
-  await this.fleet.until(() => this.fleet.rolledOut(model), 'the roll-out is done');
+  await this.fleet.waitUntil(() => this.fleet.isRolledOut(model), 'the roll-out is done');
 });
 
 Then('every engine serves v2 and the origin sent about one copy', function check(this: PathWorld) {
@@ -74,11 +74,11 @@
   const [first] = this.fleet.agents;
   const answer = this.caller.complete('assistant', prompt, { maxTokens: longAnswer });
   const running = () => this.fleet.agents.find(({ engine }) => engine && engine.running > 0);
-  await this.fleet.until(() => Boolean(running()), 'an engine runs the request');
+  await this.fleet.waitUntil(() => Boolean(running()), 'an engine runs the request');
   const agent = running() ?? first!;
   agent.process.signal('SIGTERM');
   this.seen = await answer;
-  this.exitCode = await agent.process.ended();
+  this.exitCode = await agent.process.waitForExit();
 });
 
 Then('the answer is whole and the agent exits with 0', function check(this: PathWorld) {
--- a/features/steps/platformPrograms.steps.ts
+++ b/features/steps/platformPrograms.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { PlatformProgram, entrySettings } from '@laburnumstream/bench';
+import { PlatformProgram, makeEntrySettings } from '@laburnumstream/bench';
 import type { SettingsLines } from '@laburnumstream/bench';
 import { SleepAwareClock } from '@laburnumstream/common';
 import { ConfigurationProof } from '@laburnumstream/decisions';
@@ -52,7 +52,7 @@
   async function settings(this: ProgramsWorld, missing: string | null) {
     this.programStore = await PlatformStore.start();
     this.programStore.write('op/config', configurationOf(1, ['key-1']));
-    this.programLines = await entrySettings(this.programStore.address);
+    this.programLines = await makeEntrySettings(this.programStore.address);
     if (missing) delete this.programLines[missing];
     this.program = new PlatformProgram();
     this.program.write(this.programLines);
@@ -66,7 +66,7 @@
 Then(
   /^it ends with exit code 2 and one line that names (\S+)$/,
   async function named(this: ProgramsWorld, field: string) {
-    assert.equal(await this.program.ended(), 2);
+    assert.equal(await this.program.waitForExit(), 2);
     const lines = this.program.errors.trim().split('\n');
     assert.equal(lines.length, 1, this.program.errors);
     assert.ok(lines[0]!.includes(field), lines[0]);
@@ -98,7 +98,7 @@
   async function stop(this: ProgramsWorld, seconds: string) {
     const startedAt = clock.now();
     this.program.signal('SIGTERM');
-    assert.equal(await this.program.ended(), 0);
+    assert.equal(await this.program.waitForExit(), 0);
     assert.ok(clock.now() - startedAt <= Number(seconds) * 1_000);
   },
 );
--- a/features/steps/poison.steps.ts
+++ b/features/steps/poison.steps.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import { Caller, Fleet } from '@laburnumstream/bench';
-import type { FleetShape, Seen } from '@laburnumstream/bench';
+import type { FleetShape, CompletionResult } from '@laburnumstream/bench';
 import { SeededRandom } from '@laburnumstream/common';
 import { Loss, VerdictBook, VerdictState } from '@laburnumstream/decisions';
 import { crashingPrompt } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
 
 const fourEngines: FleetShape = {
-  centres: [
+  dataCentres: [
     { name: 'north-a', region: 'north', entries: 1 },
     { name: 'south-a', region: 'south', entries: 1 },
   ],
@@ -20,15 +20,17 @@
 interface PoisonWorld {
   poisonFleet: Fleet;
   poisonCallers: Caller[];
-  poisonSeen: Seen[];
-  neighbours: Seen[];
+  poisonSeen: CompletionResult[];
+  neighbours: CompletionResult[];
   poisonBooks: { fair: VerdictBook[]; hasty: VerdictBook }[];
 }
 
 Given('a fleet with four engines', async function start(this: PoisonWorld) {
   const engine = { tokenMs: 5, coldCapacity: 64 };
   this.poisonFleet = await Fleet.start(fourEngines, { engine, logLevel: 'warn' });
-  this.poisonCallers = this.poisonFleet.entries.map(({ callers }) => new Caller(callers));
+  this.poisonCallers = this.poisonFleet.entries.map(
+    ({ callerUrl: callers }) => new Caller(callers),
+  );
   this.poisonSeen = [];
 });
 
--- a/features/steps/processLogs.steps.ts
+++ b/features/steps/processLogs.steps.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { PlatformProgram, entrySettings } from '@laburnumstream/bench';
+import { PlatformProgram, makeEntrySettings } from '@laburnumstream/bench';
 import { parseLogLine } from '@laburnumstream/cli';
 import type { LogLine } from '@laburnumstream/cli';
 import { Behaviours } from '@laburnumstream/standins';
@@ -64,7 +64,7 @@
   name: string,
   isRead: boolean,
 ): Promise<RunningProgram> {
-  const lines = await entrySettings(store.address);
+  const lines = await makeEntrySettings(store.address);
   lines.NodeName = name;
   const program = new PlatformProgram();
   program.write(lines);
--- a/features/steps/rollOutSafety.steps.ts
+++ b/features/steps/rollOutSafety.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Fleet, small } from '@laburnumstream/bench';
+import { Fleet, smallFleet } from '@laburnumstream/bench';
 import type { FleetAgent } from '@laburnumstream/bench';
 
 const model = 'assistant-model';
@@ -14,7 +14,7 @@
 }
 
 Given('a roll-out fleet', async function start(this: RollOutSafetyWorld) {
-  this.rollOutFleet = await Fleet.start(small, { logLevel: 'info' });
+  this.rollOutFleet = await Fleet.start(smallFleet, { logLevel: 'info' });
   this.rollOutAgents = this.rollOutFleet.agents.filter(({ engine }) => engine);
   this.digestOfV1 = this.rollOutAgents[0]!.engine!.serving;
 });
@@ -23,13 +23,13 @@
   await this.rollOutFleet?.close();
 });
 
-async function metricsOf({ weights }: FleetAgent): Promise<string> {
+async function metricsOf({ weightsUrl: weights }: FleetAgent): Promise<string> {
   return (await fetch(`${weights}/metrics`)).text();
 }
 
 async function awaitAll(world: RollOutSafetyWorld): Promise<void> {
   const { rollOutFleet: fleet } = world;
-  await fleet.until(() => fleet.rolledOut(model), 'the roll-out is done', timeoutMs);
+  await fleet.waitUntil(() => fleet.isRolledOut(model), 'the roll-out is done', timeoutMs);
   const served = world.rollOutAgents.map(({ engine }) => engine!.serving);
   assert.equal(new Set(served).size, 1);
   assert.notEqual(served[0], world.digestOfV1);
@@ -64,14 +64,14 @@
 Then('the other engines serve v2', async function check(this: RollOutSafetyWorld) {
   const others = this.rollOutAgents.filter((agent) => agent !== this.chosenAgent);
   const isDone = () => others.every(({ engine }) => engine!.serving !== this.digestOfV1);
-  await this.rollOutFleet.until(isDone, 'the others serve v2', timeoutMs);
+  await this.rollOutFleet.waitUntil(isDone, 'the others serve v2', timeoutMs);
   assert.equal(this.chosenAgent.engine!.serving, this.digestOfV1);
 });
 
 Then('the frozen one serves v2 after it wakes up', async function wake(this: RollOutSafetyWorld) {
   this.chosenAgent.process.signal('SIGCONT');
   const { engine } = this.chosenAgent;
-  await this.rollOutFleet.until(
+  await this.rollOutFleet.waitUntil(
     () => engine!.serving !== this.digestOfV1,
     'it serves v2',
     timeoutMs,
@@ -88,7 +88,11 @@
   const served = () => this.rollOutAgents.map(({ engine }) => engine!.serving);
   const logs = () => this.rollOutAgents.map(({ process }) => process.log);
   const isWaiting = (log: string) => log.includes('store_unavailable');
-  await this.rollOutFleet.until(() => logs().every(isWaiting), 'all wait for a slot', timeoutMs);
+  await this.rollOutFleet.waitUntil(
+    () => logs().every(isWaiting),
+    'all wait for a slot',
+    timeoutMs,
+  );
   assert.deepEqual(new Set(served()), new Set([this.digestOfV1]));
 });
 
@@ -109,7 +113,7 @@
   'the roll-out stops with a reason and all engines serve v1',
   async function check(this: RollOutSafetyWorld) {
     const release = async () => (await this.rollOutFleet.admin('GET', `roll-outs/${model}`)).body;
-    await this.rollOutFleet.until(
+    await this.rollOutFleet.waitUntil(
       async () => Boolean((await release()).stopped),
       'it is stopped',
       timeoutMs,
@@ -134,7 +138,7 @@
   engine.crash();
   for (let again = 0; again < 2; again += 1) {
     const isBack = () => engine.serving === this.digestOfV1;
-    await this.rollOutFleet.until(isBack, 'it serves v1', timeoutMs);
+    await this.rollOutFleet.waitUntil(isBack, 'it serves v1', timeoutMs);
     engine.crash();
   }
 });
@@ -142,7 +146,7 @@
 Then('it serves v1 again', async function check(this: RollOutSafetyWorld) {
   const { engine } = this.chosenAgent;
   assert.equal(engine!.serving, '');
-  await this.rollOutFleet.until(
+  await this.rollOutFleet.waitUntil(
     () => engine!.serving === this.digestOfV1,
     'it serves v1',
     timeoutMs,
@@ -162,7 +166,7 @@
 
 Then('the new agent fetches v1 from its peers', async function check(this: RollOutSafetyWorld) {
   const { engine } = this.chosenAgent;
-  await this.rollOutFleet.until(
+  await this.rollOutFleet.waitUntil(
     () => engine!.serving === this.digestOfV1,
     'it serves v1',
     timeoutMs,
--- a/features/steps/security.steps.ts
+++ b/features/steps/security.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Caller, Fleet, internalSecret, small } from '@laburnumstream/bench';
-import type { Seen } from '@laburnumstream/bench';
+import { Caller, Fleet, internalSecret, smallFleet } from '@laburnumstream/bench';
+import type { CompletionResult } from '@laburnumstream/bench';
 import { directRun } from '../support/directRun.js';
 import { eventually } from '../support/assertions.js';
 
@@ -12,12 +12,12 @@
   securityFleet: Fleet;
   securityCaller: Caller;
   securityError: unknown;
-  securitySeen: Seen[];
+  securitySeen: CompletionResult[];
 }
 
 Given('a fleet for secrets', async function start(this: SecurityWorld) {
-  this.securityFleet = await Fleet.start(small, { logLevel: 'info' });
-  this.securityCaller = new Caller(this.securityFleet.entries[0]!.callers);
+  this.securityFleet = await Fleet.start(smallFleet, { logLevel: 'info' });
+  this.securityCaller = new Caller(this.securityFleet.entries[0]!.callerUrl);
   this.securitySeen = [];
 });
 
@@ -28,7 +28,7 @@
 
 When('a process with another secret calls an agent', async function call(this: SecurityWorld) {
   const [agent] = this.securityFleet.agents;
-  this.securityError = await directRun(agent!.internal, service, newSecret).catch(
+  this.securityError = await directRun(agent!.internalUrl, service, newSecret).catch(
     (error: unknown) => error,
   );
 });
@@ -37,7 +37,7 @@
   const [agent] = this.securityFleet.agents;
   assert.equal((this.securityError as { execution?: string }).execution, 'not run');
   assert.equal(agent!.engine!.runs.length, 0);
-  const metrics = await (await fetch(`${agent!.weights}/metrics`)).text();
+  const metrics = await (await fetch(`${agent!.weightsUrl}/metrics`)).text();
   assert.match(metrics, /internal_calls_unauthenticated_total 1/);
 });
 
@@ -75,9 +75,9 @@
     assert.ok(this.securitySeen.length > 0);
     this.securitySeen.forEach(({ ended, error }) => assert.equal(ended, true, String(error?.type)));
     const [agent] = this.securityFleet.agents;
-    const refused = directRun(agent!.internal, service, internalSecret);
+    const refused = directRun(agent!.internalUrl, service, internalSecret);
     await assert.rejects(refused, { execution: 'not run' });
-    const served = await directRun(agent!.internal, service, newSecret);
+    const served = await directRun(agent!.internalUrl, service, newSecret);
     assert.equal(served.tokens, 4);
   },
 );
--- a/features/steps/spread.steps.ts
+++ b/features/steps/spread.steps.ts
@@ -25,7 +25,9 @@
 
 /** An entry outside the data centre that the faults strike. */
 function editorOf({ entries }: VirtualFleet): VirtualEntry {
-  return entries.find(({ instance, answers }) => answers && instance.dataCentre !== dataCentre)!;
+  return entries.find(
+    ({ instance, isResponsive: answers }) => answers && instance.dataCentre !== dataCentre,
+  )!;
 }
 
 function entriesThere({ entries }: VirtualFleet): VirtualEntry[] {
@@ -44,15 +46,17 @@
   'a virtual fleet of {int} entries and {int} agents in {int} data centres',
   async function start(this: SpreadWorld, entries: number, agents: number, dataCentres: number) {
     this.virtual = new VirtualFleet({ seed, entries, agents, dataCentres });
-    await this.virtual.run(3 * secondMs);
-    await this.virtual.change(nextPatch(this.virtual), this.virtual.entries[0]!);
-    await this.virtual.run(5 * secondMs);
+    await this.virtual.advance(3 * secondMs);
+    await this.virtual.applyChange(nextPatch(this.virtual), this.virtual.entries[0]!);
+    await this.virtual.advance(5 * secondMs);
     this.struck = [];
   },
 );
 
 function assertWatchers({ entries }: VirtualFleet, count: number): void {
-  const watching = entries.filter(({ answers, spreader }) => answers && spreader.isWatching);
+  const watching = entries.filter(
+    ({ isResponsive: answers, spreader }) => answers && spreader.isWatching,
+  );
   assert.equal(watching.length, count);
 }
 
@@ -63,7 +67,7 @@
 Then(
   '{int} entries watch the store after {int} seconds',
   async function check(this: SpreadWorld, count: number, seconds: number) {
-    await this.virtual.run(seconds * secondMs);
+    await this.virtual.advance(seconds * secondMs);
     assertWatchers(this.virtual, count);
   },
 );
@@ -72,10 +76,10 @@
   'a change is in force everywhere within {int} second(s)',
   async function check(this: SpreadWorld, seconds: number) {
     const { virtual } = this;
-    const revision = await virtual.change(nextPatch(virtual), editorOf(virtual));
-    await virtual.run(seconds * secondMs);
+    const revision = await virtual.applyChange(nextPatch(virtual), editorOf(virtual));
+    await virtual.advance(seconds * secondMs);
     const behind = virtual.entries.filter(
-      ({ answers, keeper }) => answers && keeper.configuration.revision < revision,
+      ({ isResponsive: answers, keeper }) => answers && keeper.configuration.revision < revision,
     );
     assert.deepEqual(
       behind.map(({ instance }) => instance.name),
@@ -98,7 +102,7 @@
   async function check(this: SpreadWorld, seconds: number) {
     const { revision } = stored(this.virtual);
     this.struck.forEach(({ clock }) => clock.thaw());
-    await this.virtual.run(seconds * secondMs);
+    await this.virtual.advance(seconds * secondMs);
     this.struck.forEach(({ keeper }) => assert.equal(keeper.configuration.revision, revision));
   },
 );
@@ -127,12 +131,12 @@
 
 When('all data centres are cut off from each other', function cut(this: SpreadWorld) {
   const pairs = ['0 1', '0 2', '1 2'].map((pair) => pair.split(' '));
-  pairs.forEach(([a, b]) => this.virtual.cuts.add(`data-centre-${a} data-centre-${b}`));
+  pairs.forEach(([a, b]) => this.virtual.partitions.add(`data-centre-${a} data-centre-${b}`));
 });
 
 When('the store is down and an entry restarts', async function restart(this: SpreadWorld) {
   loseStore(this.virtual.entries);
-  await this.virtual.run(10 * secondMs);
+  await this.virtual.advance(10 * secondMs);
   const started = this.virtual.restart(this.virtual.entries[7]!);
   loseStore([started]);
   this.struck = [started];
@@ -141,7 +145,7 @@
 Then(
   'it has the newest revision within {int} second',
   async function check(this: SpreadWorld, seconds: number) {
-    await this.virtual.run(seconds * secondMs);
+    await this.virtual.advance(seconds * secondMs);
     const { revision } = stored(this.virtual);
     assert.equal(this.struck[0]!.keeper.configuration.revision, revision);
   },
@@ -151,8 +155,8 @@
   const { virtual } = this;
   const older = virtual.content.snapshot();
   for (let index = 0; index < n; index += 1) {
-    await virtual.change(nextPatch(virtual), editorOf(virtual));
-    await virtual.run(2 * secondMs);
+    await virtual.applyChange(nextPatch(virtual), editorOf(virtual));
+    await virtual.advance(2 * secondMs);
   }
   virtual.content.restore(older);
 });
@@ -160,7 +164,7 @@
 Then(
   'no process goes back and the store has the newest revision within {int} seconds',
   async function check(this: SpreadWorld, seconds: number) {
-    await this.virtual.run(seconds * secondMs);
+    await this.virtual.advance(seconds * secondMs);
     const { revision } = stored(this.virtual);
     assert.equal(revision, 3);
     this.virtual.entries.forEach(({ keeper }) =>
@@ -173,7 +177,7 @@
   const { virtual } = this;
   this.callsBefore = virtual.content.calls;
   [...virtual.entries].forEach((entry) => virtual.restart(entry));
-  await virtual.run(10 * secondMs);
+  await virtual.advance(10 * secondMs);
 });
 
 Then(
@@ -190,7 +194,7 @@
 
 When('the store is down for {int} seconds', async function down(this: SpreadWorld, n: number) {
   loseStore(this.virtual.entries);
-  await this.virtual.run(n * secondMs);
+  await this.virtual.advance(n * secondMs);
 });
 
 Then(
@@ -200,8 +204,8 @@
     const watching = virtual.entries.filter(({ spreader }) => spreader.isWatching);
     assert.ok(watching.length <= most, `${watching.length} watch`);
     loseStore(virtual.entries, false);
-    const revision = await virtual.change(nextPatch(virtual), editorOf(virtual));
-    await virtual.run(seconds * secondMs);
+    const revision = await virtual.applyChange(nextPatch(virtual), editorOf(virtual));
+    await virtual.advance(seconds * secondMs);
     virtual.entries.forEach(({ keeper }) => assert.equal(keeper.configuration.revision, revision));
     assertWatchers(virtual, 6);
   },
--- a/features/steps/spreadHistories.steps.ts
+++ b/features/steps/spreadHistories.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { VirtualFleet, revertsOf } from '@laburnumstream/bench';
+import { VirtualFleet, countReverts } from '@laburnumstream/bench';
 import { CallFault } from '@laburnumstream/standins';
 import { tell } from '../support/changeHistory.js';
 import type { Told } from '../support/changeHistory.js';
@@ -33,8 +33,8 @@
   },
   cut: (fleet: VirtualFleet, index: number, ms: number) => {
     const pair = `data-centre-${index % 3} data-centre-${(index + 1) % 3}`;
-    fleet.cuts.add(pair);
-    fleet.clock.at(fleet.clock.now() + ms, () => fleet.cuts.delete(pair));
+    fleet.partitions.add(pair);
+    fleet.clock.at(fleet.clock.now() + ms, () => fleet.partitions.delete(pair));
   },
   lostAnswer: (fleet: VirtualFleet, index: number, ms: number) => {
     const { store } = fleet.entries[index]!;
@@ -86,17 +86,17 @@
 ): Promise<{ faults: string[]; told: Told[] }> {
   const fleet = new VirtualFleet({ seed: of, ...shape });
   fleet.content.checksConditions = checksConditions;
-  await fleet.run(1_000);
+  await fleet.advance(1_000);
   const telling: Promise<Told>[] = [];
   for (const [index, { fault, faulty, faultMs, editor, item, pauseMs }] of steps.entries()) {
     faults[fault](fleet, faulty, faultMs);
     telling.push(startChange(fleet, editor, item, `change-${index}-a`));
     telling.push(startChange(fleet, (editor + 1) % shape.entries, item, `change-${index}-b`));
-    await fleet.run(pauseMs);
+    await fleet.advance(pauseMs);
   }
-  await fleet.run(longestFaultMs);
+  await fleet.advance(longestFaultMs);
   const told = await fleet.clock.runFor(Promise.all(telling));
-  await fleet.run(healMs);
+  await fleet.advance(healMs);
   return { faults: faultsOfSpread(fleet, told), told };
 }
 
@@ -142,7 +142,7 @@
 
 When('a history has revisions 1 3 2', function go(this: SpreadHistoriesWorld) {
   const revisions = [1, 3, 2].map((revision, index) => ({ revision, atMs: index }));
-  this.reverts = revertsOf(revisions);
+  this.reverts = countReverts(revisions);
 });
 
 Then(
--- a/features/steps/takeOut.steps.ts
+++ b/features/steps/takeOut.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { Caller, Fleet, small } from '@laburnumstream/bench';
-import type { FleetAgent, FleetEntry, Seen } from '@laburnumstream/bench';
+import { Caller, Fleet, smallFleet } from '@laburnumstream/bench';
+import type { FleetAgent, FleetEntry, CompletionResult } from '@laburnumstream/bench';
 import { directRun } from '../support/directRun.js';
 import { eventually } from '../support/assertions.js';
 
@@ -11,27 +11,32 @@
 interface TakeOutWorld {
   takeOutFleet: Fleet;
   takeOutCaller: Caller;
-  takeOutAnswer: Promise<Seen>;
+  takeOutAnswer: Promise<CompletionResult>;
 }
 
 function entryIn(fleet: Fleet, dataCentre: string): FleetEntry {
-  return fleet.entries.find(({ centre }) => centre.name === dataCentre)!;
+  return fleet.entries.find(({ dataCentre: centre }) => centre.name === dataCentre)!;
 }
 
 function enginesIn(fleet: Fleet, dataCentre: string): FleetAgent[] {
-  return fleet.agents.filter(({ centre, engine }) => engine && centre.name === dataCentre);
+  return fleet.agents.filter(
+    ({ dataCentre: centre, engine }) => engine && centre.name === dataCentre,
+  );
 }
 
 async function readyStatus(entry: FleetEntry): Promise<number> {
-  return (await fetch(`${entry.callers}/ready`)).status;
+  return (await fetch(`${entry.callerUrl}/ready`)).status;
 }
 
 Given(
   'a fleet for take-out with a running answer in south-a',
   async function start(this: TakeOutWorld) {
-    this.takeOutFleet = await Fleet.start(small, { engine: { tokenMs: 20 }, logLevel: 'warn' });
+    this.takeOutFleet = await Fleet.start(smallFleet, {
+      engine: { tokenMs: 20 },
+      logLevel: 'warn',
+    });
     const entry = entryIn(this.takeOutFleet, 'south-a');
-    this.takeOutCaller = new Caller(entry.callers);
+    this.takeOutCaller = new Caller(entry.callerUrl);
     this.takeOutAnswer = this.takeOutCaller.complete(service, 'a long draft', { maxTokens });
     const [{ engine }] = enginesIn(this.takeOutFleet, 'south-a') as [FleetAgent];
     await eventually(() => engine!.running > 0, 'the engine in south-a runs the request');
@@ -79,7 +84,7 @@
 Then(
   'its endpoints refuse an entry that does not know of it',
   async function check(this: TakeOutWorld) {
-    for (const { internal } of enginesIn(this.takeOutFleet, 'south-a')) {
+    for (const { internalUrl: internal } of enginesIn(this.takeOutFleet, 'south-a')) {
       const { tokens, refusal } = await directRun(internal, service);
       assert.equal(tokens, 0);
       assert.equal(refusal?.execution, 'not run');
@@ -93,7 +98,7 @@
     const fleet = this.takeOutFleet;
     const isBack = async () => (await readyStatus(entryIn(fleet, 'south-a'))) === 200;
     await eventually(isBack, 'the entry of south-a is ready');
-    const [{ weights }] = enginesIn(fleet, 'south-a') as [FleetAgent];
+    const [{ weightsUrl: weights }] = enginesIn(fleet, 'south-a') as [FleetAgent];
     const turnedCold = async (): Promise<boolean> => {
       const metrics = await (await fetch(`${weights}/metrics`)).text();
       return metrics.includes('endpoint_turned_cold_return_total 1');
--- a/features/steps/weightsScale.steps.ts
+++ b/features/steps/weightsScale.steps.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { VirtualScheme, VirtualTransfer } from '@laburnumstream/bench';
-import type { VirtualOutcome, VirtualWork } from '@laburnumstream/bench';
+import type { VirtualOutcome, VirtualScenario } from '@laburnumstream/bench';
 
 interface WeightsScaleWorld {
-  weightWork: Omit<VirtualWork, 'scheme'>;
+  weightWork: Omit<VirtualScenario, 'scheme'>;
   weightOutcome: VirtualOutcome;
 }
 
@@ -13,7 +13,7 @@
   function prepare(this: WeightsScaleWorld, instances: number, seed: number) {
     const links = { originCopies: 4, instanceCopies: 2, regionCopies: 2 };
     const shape = { instances, regions: 2, dataCentres: 6, chunks: 256 };
-    this.weightWork = { seed, ...shape, dying: 0.05, corrupt: 0.001, ...links };
+    this.weightWork = { seed, ...shape, failingShare: 0.05, corruptShare: 0.001, ...links };
   },
 );
 
@@ -24,8 +24,8 @@
 
 Then('every surviving instance is whole', function check(this: WeightsScaleWorld) {
   assert.equal(this.weightOutcome.incomplete, 0);
-  assert.ok(this.weightOutcome.corrupt > 0, 'No chunk was corrupt: the run shows nothing.');
-  assert.ok(this.weightOutcome.died > 0, 'No member died: the run shows nothing.');
+  assert.ok(this.weightOutcome.corruptChunks > 0, 'No chunk was corrupt: the run shows nothing.');
+  assert.ok(this.weightOutcome.failedMembers > 0, 'No member died: the run shows nothing.');
 });
 
 Then(
--- a/features/support/spreadHistory.ts
+++ b/features/support/spreadHistory.ts
@@ -1,4 +1,4 @@
-import { revertsOf } from '@laburnumstream/bench';
+import { countReverts } from '@laburnumstream/bench';
 import type { VirtualFleet } from '@laburnumstream/bench';
 import type { Told } from './changeHistory.js';
 
@@ -7,7 +7,7 @@
  * are not in force in a living process.
  */
 export function faultsOfSpread(fleet: VirtualFleet, told: readonly Told[]): string[] {
-  const reverts = fleet.histories.reduce((sum, history) => sum + revertsOf(history), 0);
+  const reverts = fleet.histories.reduce((sum, history) => sum + countReverts(history), 0);
   const faults = reverts > 0 ? [`${reverts} reverts`] : [];
   const accepted = told.flatMap(({ changeId, outcome }) =>
     typeof outcome === 'number' ? [{ changeId, revision: outcome }] : [],
