--- a/bench/src/benches/heavyDays.ts
+++ b/bench/src/benches/heavyDays.ts
@@ -1,7 +1,7 @@
 import type { BenchRun, Measurement } from '../figure.js';
 import { HeavyDay } from '../heavyDays/heavyDay.js';
 import type { HeavyOutcome, HeavyShape } from '../heavyDays/heavyDay.js';
-import { admissionPolicies } from '../heavyDays/ways.js';
+import { admissionPolicies } from '../heavyDays/admissionPolicies.js';
 
 /** Deployments from the users' data sheets: near full load and overloaded. */
 const deployments: Readonly<Record<string, Omit<HeavyShape, 'seed' | 'policy' | 'seconds'>>> = {
--- a/bench/src/heavyDays/heavyDay.ts
+++ b/bench/src/heavyDays/heavyDay.ts
@@ -5,8 +5,8 @@
 import { drawHeavyLoad } from './heavyLoad.js';
 import type { HeavyRequest } from './heavyLoad.js';
 import { VirtualEngine } from './virtualEngine.js';
-import { getRegion, admissionPolicies } from './ways.js';
-import type { AdmissionPolicy } from './ways.js';
+import { getRegion, admissionPolicies } from './admissionPolicies.js';
+import type { AdmissionPolicy } from './admissionPolicies.js';
 
 /** A deployment, the load on it and the admission policy of its entries. */
 export interface HeavyShape {
--- a/bench/src/histories/world.ts
+++ b/bench/src/histories/world.ts
@@ -21,8 +21,8 @@
 import { MemoryNetwork } from './memoryNetwork.js';
 import type { NetworkAgent } from './memoryNetwork.js';
 import { MemoryStore } from './memoryStore.js';
-import { MemoryStoreClient } from './memoryStorePort.js';
-import { HistoryService } from './plainService.js';
+import { MemoryStoreClient } from './memoryStoreClient.js';
+import { HistoryService } from './historyService.js';
 import { VirtualClock } from './virtualClock.js';
 
 const service = 'desk';
--- a/bench/src/weights/virtualTransfer.ts
+++ b/bench/src/weights/virtualTransfer.ts
@@ -10,9 +10,9 @@
 } from '@laburnumstream/decisions';
 import type { ChunkFetch, ChunkTransfer, WeightMember } from '@laburnumstream/decisions';
 import { EventQueue } from './eventQueue.js';
-import { FifoLink } from './receivingLink.js';
-import { PriorityLink } from './sendingLink.js';
-import type { QueuedChunk } from './sendingLink.js';
+import { FifoLink } from './fifoLink.js';
+import { PriorityLink } from './priorityLink.js';
+import type { QueuedChunk } from './priorityLink.js';
 
 /** Distribution schemes that can be compared on the same scenario. */
 export const VirtualScheme = {
