--- a/bench/src/soak/process.ts
+++ b/bench/src/soak/process.ts
@@ -121,7 +121,7 @@
     this.program.signal('SIGTERM');
     const limitMs = SoakBounds.shutdownMs + stopMarginMs;
     const timeout = sleep(limitMs, 'late' as const, { ref: false });
-    const exit = await Promise.race([this.program.ended(), timeout]);
+    const exit = await Promise.race([this.program.waitForExit(), timeout]);
     // Before its first log line a program has no signal handler yet, so SIGTERM itself ends it.
     const hadStarted = this.logSize > this.logSizeAtStart;
     if (exit !== 0 && hadStarted && !this.isKilled && !this.wasPaused) {
@@ -134,7 +134,7 @@
     this.isExitExpected = true;
     this.isKilled = true;
     if (this.isRunning) this.program.signal('SIGKILL');
-    await this.program.ended();
+    await this.program.waitForExit();
   }
 
   async close(): Promise<void> {
@@ -147,7 +147,7 @@
   }
 
   private async watchExit(start: number): Promise<void> {
-    const code = await this.program.ended();
+    const code = await this.program.waitForExit();
     if (start !== this.starts || this.isExitExpected) return;
     const text = `${this.name} exited unexpectedly with ${code}: ${this.program.errors.slice(-300)}`;
     this.history.recordViolation(SoakRule.process, text);
