--- a/features/run.ts
+++ b/features/run.ts
@@ -5,7 +5,7 @@
 import { parseArgs } from 'node:util';
 import { loadConfiguration, loadSources, runCucumber } from '@cucumber/cucumber/api';
 import { readKnownRed } from './support/knownRed.js';
-import { scenarioResults } from './support/results.js';
+import { parseScenarioResults } from './support/results.js';
 
 const root = fileURLToPath(new URL('../..', import.meta.url));
 const parallelWorkers = 3;
@@ -32,7 +32,7 @@
   const { runConfiguration } = await loadConfiguration({ provided, file: false }, { cwd: root });
   const { plan } = await loadSources(runConfiguration.sources, { cwd: root });
   await runCucumber(runConfiguration, { cwd: root });
-  const results = scenarioResults(readFileSync(report, 'utf8'));
+  const results = parseScenarioResults(readFileSync(report, 'utf8'));
   const known = readKnownRed(readFileSync(join(root, 'KNOWN-RED.txt'), 'utf8'));
   const failed = results.filter(({ passed }) => !passed);
   const expected = failed.filter(({ name }) => known.includes(name));
--- a/features/steps/admission.steps.ts
+++ b/features/steps/admission.steps.ts
@@ -7,13 +7,13 @@
 import { HttpModelEngine } from '@laburnumstream/clients';
 import { EngineStandIn } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
-import { AdmissionHistory } from '../support/admissionHistory.js';
-import type { AdmissionModel, AdmissionStep } from '../support/admissionHistory.js';
+import { AdmissionSimulation } from '../support/admissionHistory.js';
+import type { EndpointModel, AdmissionStep } from '../support/admissionHistory.js';
 
 const seed = 5;
-const runs = 400;
+const runCount = 400;
 /** Later than any history of these tests, in milliseconds. */
-const veryLate = 10_000_000;
+const afterAllHistories = 10_000_000;
 const stepCount = { minLength: 20, maxLength: 120 };
 
 interface AdmissionWorld {
@@ -23,7 +23,7 @@
   admissionSeen: Seen[];
 }
 
-const model: fc.Arbitrary<AdmissionModel> = fc.record({
+const model: fc.Arbitrary<EndpointModel> = fc.record({
   coldLimit: fc.integer({ min: 1, max: 6 }),
   warmAfterUnits: fc.integer({ min: 1, max: 16 }),
   capacity: fc.integer({ min: 8, max: 64 }),
@@ -46,14 +46,17 @@
 const restart = fc.constant({ kind: 'restart' as const });
 const replace = fc.constant({ kind: 'replace' as const });
 
-function historyOf(steps: readonly AdmissionStep[], bounds: AdmissionModel): AdmissionHistory {
-  const history = new AdmissionHistory(bounds);
+function runSimulation(
+  steps: readonly AdmissionStep[],
+  bounds: EndpointModel,
+): AdmissionSimulation {
+  const history = new AdmissionSimulation(bounds);
   history.apply({ kind: 'report', lagMs: 0 });
   steps.forEach((step) => history.apply(step));
   return history;
 }
 
-function histories(broken: fc.Arbitrary<AdmissionStep>): fc.Arbitrary<AdmissionStep[]> {
+function createHistories(broken: fc.Arbitrary<AdmissionStep>): fc.Arbitrary<AdmissionStep[]> {
   const step = fc.oneof(
     { weight: 8, arbitrary: arrive },
     { weight: 6, arbitrary: advance },
@@ -67,24 +70,24 @@
   'over seeded histories of restarts with broken connections no cold endpoint gets too much',
   () => {
     let finished = 0;
-    const property = fc.property(histories(restart), model, (steps, bounds) => {
-      const history = historyOf(steps, bounds);
-      finished += history.finished;
-      assert.ok(history.mostWhileCold <= bounds.coldLimit, `${history.mostWhileCold}`);
+    const property = fc.property(createHistories(restart), model, (steps, bounds) => {
+      const history = runSimulation(steps, bounds);
+      finished += history.finishedRequests;
+      assert.ok(history.maxWhileCold <= bounds.coldLimit, `${history.maxWhileCold}`);
     });
-    fc.assert(property, { seed, numRuns: runs });
-    assert.ok(finished > runs, `Only ${finished} requests ended.`);
+    fc.assert(property, { seed, numRuns: runCount });
+    assert.ok(finished > runCount, `Only ${finished} requests ended.`);
   },
 );
 
 Then(
   'over seeded histories of silent replacements the work under way stays within the limit',
   () => {
-    const property = fc.property(histories(replace), model, (steps, bounds) => {
-      const history = historyOf(steps, bounds);
-      assert.ok(history.mostUnnoticed <= 0, `${history.mostUnnoticed}`);
+    const property = fc.property(createHistories(replace), model, (steps, bounds) => {
+      const history = runSimulation(steps, bounds);
+      assert.ok(history.maxUnnoticedExcess <= 0, `${history.maxUnnoticedExcess}`);
     });
-    fc.assert(property, { seed, numRuns: runs });
+    fc.assert(property, { seed, numRuns: runCount });
   },
 );
 
@@ -92,10 +95,10 @@
   '{int} units succeed at an endpoint that bears {int} and {int} while cold',
   function succeed(this: AdmissionWorld, units: number, maxLimit: number, coldLimit: number) {
     const bounds = { coldLimit, capacity: maxLimit, warmAfterUnits: 10, hasReports: true };
-    const history = new AdmissionHistory(bounds);
+    const history = new AdmissionSimulation(bounds);
     for (let index = 0; index < units; index += 1)
       history.apply({ kind: 'arrive', units: 1, count: 1 });
-    while (history.finished < units) {
+    while (history.finishedRequests < units) {
       history.apply({ kind: 'report', lagMs: 500 });
       history.apply({ kind: 'advance', ms: 100 });
     }
@@ -106,7 +109,7 @@
 When(
   'the endpoint is idle for {int} seconds',
   function idle(this: AdmissionWorld, seconds: number) {
-    this.admissionLimit.start(1, veryLate + seconds * 1_000);
+    this.admissionLimit.start(1, afterAllHistories + seconds * 1_000);
   },
 );
 
@@ -121,9 +124,9 @@
     { kind: 'arrive' as const, units: 1, count: 40 },
     { kind: 'advance' as const, ms: 200 },
   ]).flat();
-  const history = historyOf([...warm, { kind: 'advance', ms: 10_000 }], bounds);
+  const history = runSimulation([...warm, { kind: 'advance', ms: 10_000 }], bounds);
   history.apply({ kind: 'arrive', units: 1, count: 1 });
-  assert.equal(history.mostOnBoot, 64);
+  assert.equal(history.maxOnBoot, 64);
   for (let index = 0; index < 40; index += 1) {
     history.apply({ kind: 'arrive', units: 1, count: 40 });
     history.apply({ kind: 'advance', ms: 200 });
@@ -131,7 +134,7 @@
   history.apply({ kind: 'advance', ms: 1_000 });
   history.apply({ kind: 'replace' });
   history.apply({ kind: 'arrive', units: 1, count: 40 });
-  assert.equal(history.mostOnBoot, 2);
+  assert.equal(history.maxOnBoot, 2);
 });
 
 Then('a lasting jump of first-token latency is a cold sign and a short one is not', () => {
--- a/features/steps/answerReview.steps.ts
+++ b/features/steps/answerReview.steps.ts
@@ -6,9 +6,9 @@
 import { platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { eventually } from '../support/assertions.js';
-import { secondOutcome } from '../support/answerReaders.js';
-import { ask, sendRaw } from '../support/platformCaller.js';
-import type { Got } from '../support/platformCaller.js';
+import { getSecondOutcome } from '../support/answerReaders.js';
+import { sendRequest, sendRaw } from '../support/platformCaller.js';
+import type { CallerResponse } from '../support/platformCaller.js';
 import { PlatformFleet } from '../support/platformFleet.js';
 import { ScriptedEndpoint } from '../support/scriptedEndpoint.js';
 
@@ -18,7 +18,7 @@
   outcome: CallOutcome | undefined;
   reviewedFleet: PlatformFleet;
   reviewedEntry: ForwardingEntry;
-  got: Got | undefined;
+  got: CallerResponse | undefined;
   /** Whether the entry had stopped while its caller had not read the answer. */
   hasStopped: boolean;
 }
@@ -26,32 +26,33 @@
 /** How the engine of a fleet deals with one request. */
 type EngineBehaviour = Parameters<typeof PlatformFleet.start>[0][number];
 
-const refusal = 'HTTP/1.1 503 Full\r\nLaburnumstream-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n';
-const interim = 'HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n';
+const refusalResponse =
+  'HTTP/1.1 503 Full\r\nLaburnumstream-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n';
+const earlyHintsResponse = 'HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n';
 /** Time in which an endpoint runs a request, in milliseconds. */
 const runMs = 50;
 const settleMs = 200;
-const limitMs = 1_000;
+const outcomeTimeoutMs = 1_000;
 /** Time within which a stop ends that waits for nobody, in milliseconds. */
-const stopMs = 2_600;
+const stopTimeoutMs = 2_600;
 /** Calls that are given up. */
-const calls = 5;
+const abortedCalls = 5;
 /** More bytes than a connection holds on loopback. */
 const longBody = Buffer.alloc(16_000_000);
 
-function signedHead(id: unknown): Record<string, string> {
+function createSignedHeaders(id: unknown): Record<string, string> {
   return { 'laburnumstream-request-id': String(id), 'laburnumstream-server-seal': 'seal.e0' };
 }
 
 /** Heads a stream without a length or chunks and closes the connection. */
-const endsAtOnce: EngineBehaviour = ({ socket, headers }) => {
-  const lines = Object.entries(signedHead(headers['laburnumstream-request-id']));
+const closesAfterHead: EngineBehaviour = ({ socket, headers }) => {
+  const lines = Object.entries(createSignedHeaders(headers['laburnumstream-request-id']));
   const head = lines.map(([name, value]) => `${name}: ${value}\r\n`).join('');
   socket.end(`HTTP/1.1 200 OK\r\n${head}Connection: close\r\n\r\n`);
 };
 
-const answersLong: EngineBehaviour = ({ headers }, response) => {
-  response.writeHead(200, signedHead(headers['laburnumstream-request-id']));
+const respondsWithLongBody: EngineBehaviour = ({ headers }, response) => {
+  response.writeHead(200, createSignedHeaders(headers['laburnumstream-request-id']));
   response.end(longBody);
 };
 
@@ -59,16 +60,16 @@
   const fleet = await PlatformFleet.start([behaviour]);
   Object.assign(world, { reviewedFleet: fleet, reviewedEntry: await fleet.startEntry() });
   await eventually(
-    () => fleet.lines.some(({ message }) => message === 'fleet: Endpoint registered.'),
+    () => fleet.logEntries.some(({ message }) => message === 'fleet: Endpoint registered.'),
     'the engine is known',
   );
 }
 
-function poolOf({ address }: ScriptedEndpoint): ConnectionPool {
+function createPool({ address }: ScriptedEndpoint): ConnectionPool {
   return new ConnectionPool(address, new SystemClock(), new HistogramMetrics());
 }
 
-function answerTo(id: string): string {
+function createResponse(id: string): string {
   return `HTTP/1.1 200 OK\r\nLaburnumstream-Request-Id: ${id}\r\nContent-Length: 4\r\n\r\ndone`;
 }
 
@@ -88,11 +89,11 @@
     const answered = new Set<object>();
     this.reviewed = await ScriptedEndpoint.start((socket) => {
       requests += 1;
-      if (requests === 1 || answered.has(socket)) socket.write(refusal);
-      if (requests > 1) setTimeout(() => socket.write(answerTo('r2')), runMs);
+      if (requests === 1 || answered.has(socket)) socket.write(refusalResponse);
+      if (requests > 1) setTimeout(() => socket.write(createResponse('r2')), runMs);
       answered.add(socket);
     });
-    this.outcome = await secondOutcome(this.reviewed.address);
+    this.outcome = await getSecondOutcome(this.reviewed.address);
   },
 );
 
@@ -106,9 +107,9 @@
   'calls are given up while their connections are opened',
   async function giveUp(this: ReviewWorld) {
     this.reviewed = await ScriptedEndpoint.start(() => undefined);
-    this.connections = poolOf(this.reviewed);
+    this.connections = createPool(this.reviewed);
     const request = { method: 'GET', path: '/', id: 'r1', headers: [], body: Buffer.alloc(0) };
-    for (let call = 0; call < calls; call += 1) {
+    for (let call = 0; call < abortedCalls; call += 1) {
       const given = new EndpointCall(
         this.connections,
         request,
@@ -133,9 +134,9 @@
     let requests = 0;
     this.reviewed = await ScriptedEndpoint.start((socket) => {
       requests += 1;
-      socket.write(`${requests === 2 ? interim : ''}${answerTo(`r${requests}`)}`);
+      socket.write(`${requests === 2 ? earlyHintsResponse : ''}${createResponse(`r${requests}`)}`);
     });
-    this.outcome = await secondOutcome(this.reviewed.address);
+    this.outcome = await getSecondOutcome(this.reviewed.address);
   },
 );
 
@@ -150,14 +151,14 @@
   async function unread(this: ReviewWorld) {
     this.reviewed = await ScriptedEndpoint.start((socket) => {
       socket.pause();
-      socket.end(answerTo('r1').slice(0, -1));
+      socket.end(createResponse('r1').slice(0, -1));
     });
-    this.connections = poolOf(this.reviewed);
+    this.connections = createPool(this.reviewed);
     const collector = new ResponseCollector();
     const request = { method: 'POST', path: '/', id: 'r1', headers: [], body: longBody };
     const call = new EndpointCall(this.connections, request, Infinity, platformHeaders, collector);
     call.start();
-    this.outcome = await Promise.race([collector.outcome, sleep(limitMs, undefined)]);
+    this.outcome = await Promise.race([collector.outcome, sleep(outcomeTimeoutMs, undefined)]);
     call.abort();
   },
 );
@@ -169,12 +170,12 @@
 Given(
   'an engine that heads a stream without a length and closes its connection',
   function empty(this: ReviewWorld) {
-    return startFleet(this, endsAtOnce);
+    return startFleet(this, closesAfterHead);
   },
 );
 
 When('its caller asks for a stream', async function stream(this: ReviewWorld) {
-  this.got = await ask(this.reviewedFleet, '/single/x').catch(() => undefined);
+  this.got = await sendRequest(this.reviewedFleet, '/single/x').catch(() => undefined);
 });
 
 Then('the caller gets no stream that looks whole', function cut(this: ReviewWorld) {
@@ -183,7 +184,7 @@
 });
 
 Given('an engine that answers with more than a connection holds', function long(this: ReviewWorld) {
-  return startFleet(this, answersLong);
+  return startFleet(this, respondsWithLongBody);
 });
 
 When(
@@ -197,12 +198,13 @@
     );
     socket.pause();
     await eventually(
-      () => this.reviewedFleet.lines.some(({ message }) => message.endsWith('Request answered.')),
+      () =>
+        this.reviewedFleet.logEntries.some(({ message }) => message.endsWith('Request answered.')),
       'the answer is under way',
     );
     this.hasStopped = await Promise.race([
       this.reviewedEntry.stop().then(() => true),
-      sleep(stopMs, false),
+      sleep(stopTimeoutMs, false),
     ]);
     socket.destroy();
   },
--- a/features/steps/answers.steps.ts
+++ b/features/steps/answers.steps.ts
@@ -36,7 +36,7 @@
 }
 
 /** Streams an answer and does something to the agent that runs it. */
-async function disturb(
+async function streamWithDisturbance(
   world: AnswersWorld,
   act: (agent: FleetAgent) => void,
   signal?: AbortSignal,
@@ -56,50 +56,52 @@
 When(
   'the connection goes silent while an answer streams',
   async function silence(this: AnswersWorld) {
-    await disturb(this, ({ relay }) => {
+    await streamWithDisturbance(this, ({ relay }) => {
       relay!.set(RelayMode.silentOld);
     });
   },
 );
 
 When('the connection is cut while an answer streams', async function cut(this: AnswersWorld) {
-  await disturb(this, ({ relay }) => {
+  await streamWithDisturbance(this, ({ relay }) => {
     relay!.set(RelayMode.cut);
     relay!.set(RelayMode.open);
   });
 });
 
 When('the engine dies while an answer streams', async function die(this: AnswersWorld) {
-  await disturb(this, ({ engine }) => engine!.crash());
+  await streamWithDisturbance(this, ({ engine }) => engine!.crash());
 });
 
 When('all engines die while an answer streams', async function die(this: AnswersWorld) {
-  await disturb(this, () => engineAgents(this).forEach(({ engine }) => engine!.crash()));
+  await streamWithDisturbance(this, () =>
+    engineAgents(this).forEach(({ engine }) => engine!.crash()),
+  );
 });
 
 When('the caller goes while an answer streams', async function go(this: AnswersWorld) {
   const abort = new AbortController();
-  await disturb(this, () => abort.abort(), abort.signal);
+  await streamWithDisturbance(this, () => abort.abort(), abort.signal);
 });
 
-function expectedTokens(count: number): string[] {
+function createExpectedTokens(count: number): string[] {
   const weights = sha256(makeContent('assistant-model', 'v1', weightBytes));
   return Array.from({ length: count }, (_, index) => tokenOf(weights, answersPrompt, index));
 }
 
-function checkWhole({ answersSeen }: AnswersWorld): void {
+function assertComplete({ answersSeen }: AnswersWorld): void {
   assert.equal(answersSeen.ended, true, JSON.stringify(answersSeen.error));
-  assert.deepEqual(answersSeen.tokens, expectedTokens(tokenCount));
+  assert.deepEqual(answersSeen.tokens, createExpectedTokens(tokenCount));
 }
 
 Then('the answer is whole and the engines ran it once', function check(this: AnswersWorld) {
-  checkWhole(this);
+  assertComplete(this);
   const runs = engineAgents(this).flatMap(({ engine }) => engine!.runs);
   assert.equal(runs.length, 1);
 });
 
 Then('the answer is whole and another engine went on with it', function check(this: AnswersWorld) {
-  checkWhole(this);
+  assertComplete(this);
   const runs = engineAgents(this).flatMap(({ engine }) => engine!.runs);
   assert.equal(runs.filter(({ resumeFrom }) => resumeFrom > 0).length, 1);
 });
@@ -110,7 +112,7 @@
     const { ended, tokens, error } = this.answersSeen;
     assert.equal(ended, false);
     assert.ok(tokens.length > 0 && tokens.length < tokenCount);
-    assert.deepEqual(tokens, expectedTokens(tokens.length));
+    assert.deepEqual(tokens, createExpectedTokens(tokens.length));
     assert.equal(error?.execution, 'unknown');
     assert.equal(typeof error?.type, 'string');
   },
@@ -123,7 +125,7 @@
   assert.equal(runs.length, 1);
 });
 
-interface LooseFrame {
+interface ReplayedFrame {
   readonly id: string;
   readonly attempt: number;
   readonly sequence: number;
@@ -131,7 +133,7 @@
   readonly texts: readonly string[];
 }
 
-function framesOf(id: string, attempt: number, texts: readonly string[]): LooseFrame[] {
+function createFrames(id: string, attempt: number, texts: readonly string[]): ReplayedFrame[] {
   return texts.map((text, index) => ({
     id,
     attempt,
@@ -142,26 +144,26 @@
 }
 
 /** Doubles frames and mixes in those of an earlier attempt and of another request. */
-function disturbed(texts: readonly string[], random: SeededRandom): LooseFrame[] {
+function addStaleFrames(texts: readonly string[], random: SeededRandom): ReplayedFrame[] {
   const strangers = [
-    ...framesOf('request', 1, texts),
-    ...framesOf(
+    ...createFrames('request', 1, texts),
+    ...createFrames(
       'other',
       2,
       texts.map((text) => `other ${text}`),
     ),
   ];
-  return framesOf('request', 2, texts).flatMap((frame) => {
+  return createFrames('request', 2, texts).flatMap((frame) => {
     const stranger = strangers[Math.floor(random.next() * strangers.length)]!;
     const doubled = random.next() < 0.3 ? [frame] : [];
     return random.next() < 0.5 ? [stranger, frame, ...doubled] : [frame, ...doubled, stranger];
   });
 }
 
-function isWhole(
-  frames: readonly LooseFrame[],
+function isComplete(
+  frames: readonly ReplayedFrame[],
   texts: readonly string[],
-  accepts: (frame: LooseFrame) => boolean,
+  accepts: (frame: ReplayedFrame) => boolean,
 ): boolean {
   const assembly = new AnswerAssembly(sha256);
   try {
@@ -179,11 +181,11 @@
     const random = new SeededRandom(5);
     this.answersResults = Array.from({ length: count }, (_, run) => {
       const texts = Array.from({ length: 20 }, (__, index) => ` ${run}-${index}`);
-      const frames = disturbed(texts, random);
+      const frames = addStaleFrames(texts, random);
       const order = new FrameOrder('request', 2);
       return {
-        assembled: isWhole(frames, texts, (frame) => order.accepts(frame)),
-        naive: isWhole(frames, texts, () => true),
+        assembled: isComplete(frames, texts, (frame) => order.accepts(frame)),
+        naive: isComplete(frames, texts, () => true),
       };
     });
   },
--- a/features/steps/atMostOnce.steps.ts
+++ b/features/steps/atMostOnce.steps.ts
@@ -3,7 +3,7 @@
 import { Caller, Fleet, small } from '@laburnumstream/bench';
 import { eventually } from '../support/assertions.js';
 
-interface OrderAnswer {
+interface OrderResponse {
   readonly order: string;
   readonly status: number;
   readonly body: Record<string, unknown>;
@@ -17,7 +17,7 @@
 interface OrdersWorld {
   ordersFleet: Fleet;
   orderCallers: Caller[];
-  orderAnswers: OrderAnswer[];
+  orderAnswers: OrderResponse[];
   orderTexts: string[];
   orderReads: number;
 }
@@ -35,12 +35,13 @@
   await this.ordersFleet?.close();
 });
 
-function desks({ ordersFleet }: OrdersWorld) {
+function getPlainServices({ ordersFleet }: OrdersWorld) {
   return ordersFleet.agents.flatMap(({ plain }) => plain ?? []);
 }
 
-function runsOf(world: OrdersWorld, body = orderBody): number {
-  return desks(world).flatMap(({ runs }) => runs.filter((run) => run.body === body)).length;
+function countRuns(world: OrdersWorld, body = orderBody): number {
+  return getPlainServices(world).flatMap(({ runs }) => runs.filter((run) => run.body === body))
+    .length;
 }
 
 async function order(
@@ -48,7 +49,7 @@
   entry: number,
   body = orderBody,
   key = 'order-1',
-): Promise<OrderAnswer> {
+): Promise<OrderResponse> {
   const headers = { 'idempotency-key': key };
   const reply = await orderCallers[entry]!.call('desk', '/orders', body, { headers });
   const answer = { ...reply, order: body };
@@ -56,7 +57,7 @@
   return answer;
 }
 
-function errorOf({ body }: OrderAnswer): OrderError {
+function parseError({ body }: OrderResponse): OrderError {
   return body.error as OrderError;
 }
 
@@ -73,7 +74,7 @@
 );
 
 Then('the order ran once and each answer is the same', function check(this: OrdersWorld) {
-  assert.equal(runsOf(this), 1);
+  assert.equal(countRuns(this), 1);
   assert.equal(this.orderAnswers.length, 3);
   this.orderAnswers.forEach((answer) => assert.deepEqual(answer, this.orderAnswers[0]));
 });
@@ -87,16 +88,16 @@
   'the second order is refused with {int} as {string} and {string}',
   function check(this: OrdersWorld, status: number, type: string, execution: string) {
     assert.equal(this.orderAnswers[1]!.status, status);
-    assert.equal(errorOf(this.orderAnswers[1]!).type, type);
-    assert.equal(errorOf(this.orderAnswers[1]!).execution, execution);
-    assert.equal(runsOf(this, '{"tags":41}'), 0);
+    assert.equal(parseError(this.orderAnswers[1]!).type, type);
+    assert.equal(parseError(this.orderAnswers[1]!).execution, execution);
+    assert.equal(countRuns(this, '{"tags":41}'), 0);
   },
 );
 
 When(
   'the answer of an order is lost and the order is sent again through each entry',
   async function send(this: OrdersWorld) {
-    desks(this).forEach((desk) => Object.assign(desk, { dropNext: 1 }));
+    getPlainServices(this).forEach((desk) => Object.assign(desk, { dropNext: 1 }));
     for (const entry of [0, 0, 1]) await order(this, entry);
   },
 );
@@ -104,9 +105,9 @@
 When(
   'the agent is killed during an order and the order is sent again through each entry',
   async function send(this: OrdersWorld) {
-    desks(this).forEach((desk) => Object.assign(desk, { workMs: 1_000 }));
+    getPlainServices(this).forEach((desk) => Object.assign(desk, { workMs: 1_000 }));
     const first = order(this, 0);
-    await eventually(() => runsOf(this) > 0, 'the order runs');
+    await eventually(() => countRuns(this) > 0, 'the order runs');
     const agent = this.ordersFleet.agents.find(({ plain }) => plain && plain.runs.length > 0);
     await agent!.process.kill();
     await first;
@@ -117,11 +118,11 @@
 Then(
   'the order ran once and each answer says that it may have run',
   function check(this: OrdersWorld) {
-    assert.equal(runsOf(this), 1);
+    assert.equal(countRuns(this), 1);
     assert.equal(this.orderAnswers.length, 3);
     this.orderAnswers.forEach((answer) => {
       assert.ok([409, 502].includes(answer.status), `${answer.status}`);
-      assert.equal(errorOf(answer).execution, 'unknown');
+      assert.equal(parseError(answer).execution, 'unknown');
     });
   },
 );
@@ -170,10 +171,10 @@
       [200, 200, 503],
     );
     // Whether an earlier copy with the key ran cannot be known without the store.
-    assert.equal(errorOf(this.orderAnswers[2]!).type, 'store_unavailable');
-    assert.equal(errorOf(this.orderAnswers[2]!).execution, 'unknown');
-    assert.equal(runsOf(this, '{"without":"key"}'), 1);
-    assert.equal(runsOf(this), 0);
+    assert.equal(parseError(this.orderAnswers[2]!).type, 'store_unavailable');
+    assert.equal(parseError(this.orderAnswers[2]!).execution, 'unknown');
+    assert.equal(countRuns(this, '{"without":"key"}'), 1);
+    assert.equal(countRuns(this), 0);
   },
 );
 
@@ -191,12 +192,12 @@
 );
 
 Then('no order ran twice and none that was called not run ran', function check(this: OrdersWorld) {
-  const bodies = desks(this).flatMap(({ runs }) => runs.map(({ body }) => body));
+  const bodies = getPlainServices(this).flatMap(({ runs }) => runs.map(({ body }) => body));
   assert.equal(new Set(bodies).size, bodies.length);
   const orders = [...new Set(this.orderAnswers.map(({ order: body }) => body))];
   orders.forEach((body) => {
     const last = this.orderAnswers.filter((answer) => answer.order === body).at(-1)!;
-    const isRefused = last.status !== 200 && errorOf(last).execution === 'not run';
+    const isRefused = last.status !== 200 && parseError(last).execution === 'not run';
     assert.ok(!isRefused || !bodies.includes(body), `${body} was called not run but ran`);
   });
 });
--- a/features/steps/audit.steps.ts
+++ b/features/steps/audit.steps.ts
@@ -2,20 +2,20 @@
 import { Then, When } from '@cucumber/cucumber';
 import { AuditTrail } from '@laburnumstream/entry';
 import type { ConfigurationWorld } from './configuration.steps.js';
-import { patchBy } from './configuration.steps.js';
+import { createPatch } from './configuration.steps.js';
 
 const secret = 'b'.repeat(64);
 
 When('ann changes the defaults and ben a token', async function go(this: ConfigurationWorld) {
-  await this.editing.apply(patchBy('ann', { defaults: { maxQueue: 9 } }, 'defaults'));
+  await this.editing.apply(createPatch('ann', { defaults: { maxQueue: 9 } }, 'defaults'));
   const workspaces = { shop: { tokenHashes: [secret] } };
-  await this.editing.apply(patchBy('ben', { workspaces }, 'token'));
+  await this.editing.apply(createPatch('ben', { workspaces }, 'token'));
 });
 
 Then(
   'the audit trail tells both changes without hashes',
   async function check(this: ConfigurationWorld) {
-    const trail = (await this.editing.trail()).slice(-2);
+    const trail = (await this.editing.readAuditTrail()).slice(-2);
     const [defaults, token] = trail;
     assert.equal(defaults!.author, 'ann');
     assert.equal(defaults!.reason, 'test');
@@ -32,7 +32,7 @@
 
 async function makeChanges({ editing }: ConfigurationWorld, count: number): Promise<void> {
   for (let index = 0; index < count; index += 1) {
-    const change = patchBy('ann', { defaults: { maxQueue: index + 1 } }, `change-${index}`);
+    const change = createPatch('ann', { defaults: { maxQueue: index + 1 } }, `change-${index}`);
     await editing.apply(change);
   }
 }
@@ -44,13 +44,13 @@
 Then(
   'the audit trail has all {int} in order and the document holds fewer than {int}',
   async function check(this: ConfigurationWorld, count: number, most: number) {
-    const trail = await this.editing.trail();
+    const trail = await this.editing.readAuditTrail();
     const expected = Array.from({ length: count + 1 }, (_, index) => index + 1);
     assert.deepEqual(
       trail.map(({ revision }) => revision),
       expected,
     );
-    assert.ok(this.editing.stored.audit.length < most);
+    assert.ok(this.editing.storedConfiguration.audit.length < most);
   },
 );
 
@@ -58,7 +58,7 @@
   '{int} changes are made and an older page is lost',
   async function go(this: ConfigurationWorld, count: number) {
     await makeChanges(this, count);
-    this.editing.content.values.delete(this.editing.stored.auditPage);
+    this.editing.content.values.delete(this.editing.storedConfiguration.auditPage);
   },
 );
 
@@ -67,7 +67,7 @@
   async function check(this: ConfigurationWorld) {
     const { editing } = this;
     const read = new AuditTrail(editing.stores[0]!).read(
-      editing.stored,
+      editing.storedConfiguration,
       { limit: 1_000 },
       new AbortController().signal,
     );
--- a/features/steps/changeHistories.steps.ts
+++ b/features/steps/changeHistories.steps.ts
@@ -2,14 +2,14 @@
 import { Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import { CallFault } from '@laburnumstream/standins';
-import { faultsOfHistory, tell } from '../support/changeHistory.js';
-import type { Told } from '../support/changeHistory.js';
+import { findHistoryFaults, recordOutcome } from '../support/changeHistory.js';
+import type { ChangeOutcome } from '../support/changeHistory.js';
 import { EditingFleet } from '../support/editingFleet.js';
-import { patchBy } from './configuration.steps.js';
+import { createPatch } from './configuration.steps.js';
 
 const seed = 20_261;
 const editors = 3;
-const longestPauseMs = 400;
+const maxPauseMs = 400;
 const settleMs = 30_000;
 const faults = [...Array<CallFault>(8).fill(CallFault.none), ...Object.values(CallFault)];
 
@@ -30,7 +30,7 @@
 const step: fc.Arbitrary<Step> = fc.record({
   editor: fc.nat(editors - 1),
   item: fc.nat(5),
-  pauseMs: fc.nat(longestPauseMs),
+  pauseMs: fc.nat(maxPauseMs),
   outageMs: fc.oneof({ weight: 9, arbitrary: fc.constant(0) }, fc.integer({ min: 1, max: 6_000 })),
 });
 const history = fc.record({
@@ -39,8 +39,8 @@
   callFaults: fc.infiniteStream(fc.constantFrom(...faults)),
 });
 
-async function runSteps(fleet: EditingFleet, steps: readonly Step[]): Promise<Told[]> {
-  const told: Promise<Told>[] = [];
+async function runSteps(fleet: EditingFleet, steps: readonly Step[]): Promise<ChangeOutcome[]> {
+  const told: Promise<ChangeOutcome>[] = [];
   const { clock } = fleet;
   for (const [index, { editor, item, pauseMs, outageMs }] of steps.entries()) {
     const store = fleet.stores[editor]!;
@@ -53,7 +53,10 @@
     const changeId = `change-${index}`;
     const services = { [`item-${item}`]: { kind: 'plain', nonIdempotentPaths: [`/${index}`] } };
     told.push(
-      tell(changeId, fleet.start(patchBy(`author-${editor}`, { services }, changeId), editor)),
+      recordOutcome(
+        changeId,
+        fleet.start(createPatch(`author-${editor}`, { services }, changeId), editor),
+      ),
     );
     await clock.runUntil(clock.now() + pauseMs);
   }
@@ -69,7 +72,7 @@
     fleet.content.checksConditions = checksConditions;
     for (const store of fleet.stores) store.fault = () => callFaults.next().value as CallFault;
     const told = await runSteps(fleet, steps);
-    world.historyFaults.push(...faultsOfHistory(told, await fleet.trail()));
+    world.historyFaults.push(...findHistoryFaults(told, await fleet.readAuditTrail()));
     told.forEach(({ outcome }) => {
       const kind = typeof outcome === 'number' ? 'accepted' : outcome;
       world.outcomes.set(kind, (world.outcomes.get(kind) ?? 0) + 1);
--- a/features/steps/configuration.steps.ts
+++ b/features/steps/configuration.steps.ts
@@ -11,32 +11,32 @@
 import type { Change, Effect } from '@laburnumstream/decisions';
 import { addException, applyChange } from '@laburnumstream/entry';
 import { CallFault } from '@laburnumstream/standins';
-import { tell } from '../support/changeHistory.js';
-import type { Told } from '../support/changeHistory.js';
+import { recordOutcome } from '../support/changeHistory.js';
+import type { ChangeOutcome } from '../support/changeHistory.js';
 import { EditingFleet } from '../support/editingFleet.js';
 
 const seed = 7;
-const plain = { kind: 'plain' };
-const hash = 'a'.repeat(64);
+const plainService = { kind: 'plain' };
+const tokenHash = 'a'.repeat(64);
 const secondMs = 1_000;
 
 /** What the scenarios of configuration changes share. */
 export interface ConfigurationWorld {
   editing: EditingFleet;
   change: Change;
-  changeTold: Told[];
+  changeTold: ChangeOutcome[];
   changeFailure: Failure;
   changeMs: number;
   effects: Effect[];
 }
 
 /** A change by an author that patches parts of the document. */
-export function patchBy(author: string, parts: object, changeId = `${author}-change`): Change {
+export function createPatch(author: string, parts: object, changeId = `${author}-change`): Change {
   const by = { author, reason: 'test', at: 1 };
   return { ...applyChange(by, parts as Record<string, unknown>), changeId };
 }
 
-async function failureOf(promise: Promise<unknown>): Promise<Failure> {
+async function expectFailure(promise: Promise<unknown>): Promise<Failure> {
   const failure = await promise.then(
     () => undefined,
     (error: unknown) => error,
@@ -47,15 +47,18 @@
 
 Given('two configuration editors', async function start(this: ConfigurationWorld) {
   this.editing = new EditingFleet(seed);
-  const operators = { ann: { role: 'operator', tokenHashes: [hash] } };
-  const services = { desk: plain };
-  await this.editing.apply(patchBy('ann', { operators, services }, 'first'));
+  const operators = { ann: { role: 'operator', tokenHashes: [tokenHash] } };
+  const services = { desk: plainService };
+  await this.editing.apply(createPatch('ann', { operators, services }, 'first'));
 });
 
-function race(editing: EditingFleet, patches: readonly [object, object]): Promise<Told[]> {
+function applyConcurrently(
+  editing: EditingFleet,
+  patches: readonly [object, object],
+): Promise<ChangeOutcome[]> {
   const changes = [
-    tell('a', editing.start(patchBy('ann', patches[0], 'a'), 0)),
-    tell('b', editing.start(patchBy('ben', patches[1], 'b'), 1)),
+    recordOutcome('a', editing.start(createPatch('ann', patches[0], 'a'), 0)),
+    recordOutcome('b', editing.start(createPatch('ben', patches[1], 'b'), 1)),
   ];
   return editing.clock.runFor(Promise.all(changes));
 }
@@ -63,20 +66,27 @@
 When(
   'both change different services at the same time',
   async function go(this: ConfigurationWorld) {
-    const patches = [{ services: { one: plain } }, { services: { two: plain } }] as const;
-    this.changeTold = await race(this.editing, patches);
+    const patches = [
+      { services: { one: plainService } },
+      { services: { two: plainService } },
+    ] as const;
+    this.changeTold = await applyConcurrently(this.editing, patches);
   },
 );
 
 Then('both changes are in the document', function check(this: ConfigurationWorld) {
-  assert.deepEqual(Object.keys(this.editing.stored.services).sort(), ['desk', 'one', 'two']);
+  assert.deepEqual(Object.keys(this.editing.storedConfiguration.services).sort(), [
+    'desk',
+    'one',
+    'two',
+  ]);
   assert.ok(this.changeTold.every(({ outcome }) => typeof outcome === 'number'));
 });
 
 When('both change the same service at the same time', async function go(this: ConfigurationWorld) {
   const { editing } = this;
   const change = (author: string, path: string): Change =>
-    patchBy(author, { services: { desk: { nonIdempotentPaths: [path] } } });
+    createPatch(author, { services: { desk: { nonIdempotentPaths: [path] } } });
   const starts = [editing.start(change('ann', '/a'), 0), editing.start(change('ben', '/b'), 1)];
   const ends = await editing.clock.runFor(Promise.allSettled(starts));
   const refused = ends.flatMap((end) => (end.status === 'rejected' ? [end.reason as Failure] : []));
@@ -103,21 +113,21 @@
   };
 }
 
-async function applyOne(editing: EditingFleet): Promise<Told[]> {
-  const change = patchBy('ann', { services: { one: plain } });
-  return [await tell('ann-change', editing.apply(change))];
+async function applyAndRecord(editing: EditingFleet): Promise<ChangeOutcome[]> {
+  const change = createPatch('ann', { services: { one: plainService } });
+  return [await recordOutcome('ann-change', editing.apply(change))];
 }
 
 When("the answer to a change's write is lost", async function go(this: ConfigurationWorld) {
   failFirstWrite(this, CallFault.lostAnswer);
-  this.changeTold = await applyOne(this.editing);
+  this.changeTold = await applyAndRecord(this.editing);
 });
 
 When(
   "a change's write lands after its caller gave up",
   async function go(this: ConfigurationWorld) {
     failFirstWrite(this, CallFault.late);
-    this.changeTold = await applyOne(this.editing);
+    this.changeTold = await applyAndRecord(this.editing);
     await this.editing.clock.runUntil(this.editing.clock.now() + 20 * secondMs);
   },
 );
@@ -127,36 +137,41 @@
   async function go(this: ConfigurationWorld, others: number) {
     const { editing } = this;
     failFirstWrite(this, CallFault.lostAnswer);
-    const waiting = tell('ann-change', editing.start(patchBy('ann', { services: { one: plain } })));
+    const waiting = recordOutcome(
+      'ann-change',
+      editing.start(createPatch('ann', { services: { one: plainService } })),
+    );
     await editing.clock.runUntil(editing.clock.now() + 100);
     for (let index = 0; index < others; index += 1) {
-      const services = { [`other-${index}`]: plain };
-      await editing.apply(patchBy('ben', { services }, `other-${index}`), 1);
+      const services = { [`other-${index}`]: plainService };
+      await editing.apply(createPatch('ben', { services }, `other-${index}`), 1);
     }
-    const isInline = editing.stored.audit.some(({ changeId }) => changeId === 'ann-change');
+    const isInline = editing.storedConfiguration.audit.some(
+      ({ changeId }) => changeId === 'ann-change',
+    );
     assert.equal(isInline, false);
     this.changeTold = [await editing.clock.runFor(waiting)];
   },
 );
 
 Then('the change is accepted once', async function check(this: ConfigurationWorld) {
-  const trail = await this.editing.trail();
+  const trail = await this.editing.readAuditTrail();
   const records = trail.filter(({ changeId }) => changeId === 'ann-change');
   assert.equal(records.length, 1);
   assert.equal(this.changeTold[0]!.outcome, records[0]!.revision);
 });
 
-async function refuseOne(editing: EditingFleet) {
+async function applyAndExpectFailure(editing: EditingFleet) {
   const { clock } = editing;
   const started = clock.now();
-  const change = patchBy('ann', { services: { one: plain } });
-  const changeFailure = await failureOf(editing.apply(change));
+  const change = createPatch('ann', { services: { one: plainService } });
+  const changeFailure = await expectFailure(editing.apply(change));
   return { change, changeFailure, changeMs: clock.now() - started };
 }
 
 When('the store is down during a change', async function go(this: ConfigurationWorld) {
   this.editing.stores[0]!.isDown = true;
-  Object.assign(this, await refuseOne(this.editing));
+  Object.assign(this, await applyAndExpectFailure(this.editing));
 });
 
 When("the store goes down after a change's write", async function go(this: ConfigurationWorld) {
@@ -168,7 +183,7 @@
     });
     return CallFault.lostAnswer;
   };
-  Object.assign(this, await refuseOne(this.editing));
+  Object.assign(this, await applyAndExpectFailure(this.editing));
 });
 
 Then(
@@ -184,7 +199,9 @@
   store!.isDown = false;
   store!.fault = () => CallFault.none;
   const again = await this.editing.apply(this.change);
-  const records = (await this.editing.trail()).filter(({ changeId }) => changeId === 'ann-change');
+  const records = (await this.editing.readAuditTrail()).filter(
+    ({ changeId }) => changeId === 'ann-change',
+  );
   assert.deepEqual(
     records.map(({ revision }) => revision),
     [again.revision],
@@ -192,17 +209,17 @@
 });
 
 When('a change is made for an older revision', async function go(this: ConfigurationWorld) {
-  await this.editing.apply(patchBy('ben', { services: { one: plain } }));
+  await this.editing.apply(createPatch('ben', { services: { one: plainService } }));
 });
 
 Then(
   'it is merged when other items changed and refused when the same did',
   async function check(this: ConfigurationWorld) {
     const older = { ifRevision: 1 };
-    const other = patchBy('ann', { services: { two: plain } }, 'other');
+    const other = createPatch('ann', { services: { two: plainService } }, 'other');
     await this.editing.apply({ ...other, ...older });
-    const same = patchBy('ann', { services: { one: { nonIdempotentPaths: ['/x'] } } }, 'same');
-    const failure = await failureOf(this.editing.apply({ ...same, ...older }));
+    const same = createPatch('ann', { services: { one: { nonIdempotentPaths: ['/x'] } } }, 'same');
+    const failure = await expectFailure(this.editing.apply({ ...same, ...older }));
     assert.equal(failure.type, 'conflict');
     assert.match(failure.message, /ben changed services\/one in revision 2/);
   },
@@ -210,9 +227,9 @@
 
 When('the patch {} is applied', async function go(this: ConfigurationWorld, patch: string) {
   const apply = async (): Promise<void> => {
-    await this.editing.apply(patchBy('ann', JSON.parse(patch) as object));
+    await this.editing.apply(createPatch('ann', JSON.parse(patch) as object));
   };
-  this.changeFailure = await failureOf(apply());
+  this.changeFailure = await expectFailure(apply());
 });
 
 Then(
@@ -220,7 +237,7 @@
   function check(this: ConfigurationWorld, type: string, path: string) {
     assert.equal(this.changeFailure.type, type);
     assert.ok(this.changeFailure.message.includes(path), this.changeFailure.message);
-    assert.equal(this.editing.stored.revision, 1);
+    assert.equal(this.editing.storedConfiguration.revision, 1);
   },
 );
 
@@ -232,13 +249,13 @@
       (_, index) => `/${index}${'é'.repeat(1_000)}`,
     );
     const apply = async (index: number): Promise<void> => {
-      const services = { [`large-${index}`]: { ...plain, nonIdempotentPaths } };
-      await this.editing.apply(patchBy('ann', { services }, `large-${index}`));
+      const services = { [`large-${index}`]: { ...plainService, nonIdempotentPaths } };
+      await this.editing.apply(createPatch('ann', { services }, `large-${index}`));
     };
     const many = async (): Promise<void> => {
       for (let index = 0; index < 100; index += 1) await apply(index);
     };
-    this.changeFailure = await failureOf(many());
+    this.changeFailure = await expectFailure(many());
   },
 );
 
@@ -253,17 +270,17 @@
 );
 
 When('an operator limited to one service changes two', async function go(this: ConfigurationWorld) {
-  const limited = { role: 'operator', tokenHashes: [hash], services: ['desk'] } as const;
-  await this.editing.apply(patchBy('ann', { operators: { ben: limited } }, 'limit'));
+  const limited = { role: 'operator', tokenHashes: [tokenHash], services: ['desk'] } as const;
+  await this.editing.apply(createPatch('ann', { operators: { ben: limited } }, 'limit'));
   const permit: Change['permit'] = (before, changes) =>
     checkPermission(before, before.operators.ben!, changes);
   const change = (service: string): Change => {
-    const services = { [service]: { ...plain, nonIdempotentPaths: ['/orders'] } };
-    return { ...patchBy('ben', { services }, service), permit };
+    const services = { [service]: { ...plainService, nonIdempotentPaths: ['/orders'] } };
+    return { ...createPatch('ben', { services }, service), permit };
   };
   this.changeTold = [
-    await tell('desk', this.editing.apply(change('desk'))),
-    await tell('other', this.editing.apply(change('other'))),
+    await recordOutcome('desk', this.editing.apply(change('desk'))),
+    await recordOutcome('other', this.editing.apply(change('other'))),
   ];
 });
 
@@ -279,15 +296,15 @@
   async function go(this: ConfigurationWorld) {
     const { editing } = this;
     const older = editing.content.snapshot();
-    await editing.apply(patchBy('ann', { services: { one: plain } }, 'one'));
-    await editing.apply(patchBy('ann', { services: { two: plain } }, 'two'));
+    await editing.apply(createPatch('ann', { services: { one: plainService } }, 'one'));
+    await editing.apply(createPatch('ann', { services: { two: plainService } }, 'two'));
     editing.content.restore(older);
-    await editing.apply(patchBy('ann', { services: { three: plain } }, 'three'));
+    await editing.apply(createPatch('ann', { services: { three: plainService } }, 'three'));
   },
 );
 
 Then('no accepted change is lost', function check(this: ConfigurationWorld) {
-  const { services, revision } = this.editing.stored;
+  const { services, revision } = this.editing.storedConfiguration;
   assert.deepEqual(Object.keys(services).sort(), ['desk', 'one', 'three', 'two']);
   assert.equal(revision, 4);
 });
--- a/features/steps/configurationProcesses.steps.ts
+++ b/features/steps/configurationProcesses.steps.ts
@@ -10,7 +10,7 @@
 import { runCommand } from '../support/commandLine.js';
 import type { CommandResult } from '../support/commandLine.js';
 
-const takeMs = 30_000;
+const waitTimeoutMs = 30_000;
 const shape = {
   centres: [{ name: 'north-a', region: 'north', entries: 4 }],
   services: [],
@@ -35,18 +35,18 @@
   await this.entriesFleet?.close();
 });
 
-async function revisionOf(fleet: Fleet, entry: FleetEntry): Promise<number> {
+async function fetchRevision(fleet: Fleet, entry: FleetEntry): Promise<number> {
   const { body } = await fleet.admin('GET', 'status', undefined, entry);
   return Number(body.revision);
 }
 
-async function watches({ operators }: FleetEntry): Promise<boolean> {
+async function isWatching({ operators }: FleetEntry): Promise<boolean> {
   const response = await fetch(`${operators}/metrics`);
   return /^configuration_watching 1$/m.test(await response.text());
 }
 
-async function watchersOf({ entries }: Fleet): Promise<FleetEntry[]> {
-  const flags = await Promise.all(entries.map((entry) => watches(entry)));
+async function findWatchers({ entries }: Fleet): Promise<FleetEntry[]> {
+  const flags = await Promise.all(entries.map((entry) => isWatching(entry)));
   return entries.filter((_, index) => flags[index]);
 }
 
@@ -54,18 +54,18 @@
   return fleet.admin('POST', 'configuration', { reason: 'test', defaults: { maxQueue } }, entry);
 }
 
-async function untilInForce(
+async function waitUntilInForce(
   fleet: Fleet,
   entries: readonly FleetEntry[],
   revision: number,
 ): Promise<void> {
   for (const entry of entries) {
-    const isInForce = async () => (await revisionOf(fleet, entry).catch(() => 0)) >= revision;
-    await eventually(isInForce, `${entry.name} has revision ${revision}`, takeMs);
+    const isInForce = async () => (await fetchRevision(fleet, entry).catch(() => 0)) >= revision;
+    await eventually(isInForce, `${entry.name} has revision ${revision}`, waitTimeoutMs);
   }
 }
 
-function revertsIn({ process }: FleetEntry): number {
+function countLoggedReverts({ process }: FleetEntry): number {
   const lines = process.log.split('\n').filter((line) => line.includes('Configuration in force.'));
   const history = lines.map((line) => {
     const { revision } = JSON.parse(line) as { revision: number };
@@ -78,9 +78,9 @@
   'one watcher freezes, the other is killed and a change is made',
   async function strike(this: ProcessesWorld) {
     const { entriesFleet: fleet } = this;
-    const two = async () => (await watchersOf(fleet)).length === 2;
-    await eventually(two, 'two entries watch', takeMs);
-    const [frozen, killed] = await watchersOf(fleet);
+    const two = async () => (await findWatchers(fleet)).length === 2;
+    await eventually(two, 'two entries watch', waitTimeoutMs);
+    const [frozen, killed] = await findWatchers(fleet);
     this.frozen = frozen!;
     frozen!.process.signal('SIGSTOP');
     await killed!.process.kill();
@@ -96,22 +96,22 @@
     const { entriesFleet: fleet, frozen, changedTo } = this;
     const running = fleet.entries.filter((entry) => entry !== frozen && entry.process.isRunning);
     assert.equal(running.length, 2);
-    await untilInForce(fleet, running, changedTo);
+    await waitUntilInForce(fleet, running, changedTo);
     frozen.process.signal('SIGCONT');
-    await untilInForce(fleet, [frozen], changedTo);
-    fleet.entries.forEach((entry) => assert.equal(revertsIn(entry), 0));
+    await waitUntilInForce(fleet, [frozen], changedTo);
+    fleet.entries.forEach((entry) => assert.equal(countLoggedReverts(entry), 0));
   },
 );
 
 When('the store goes down and an entry is replaced', async function replace(this: ProcessesWorld) {
   const { entriesFleet: fleet } = this;
-  this.changedTo = await revisionOf(fleet, fleet.entries[0]!);
+  this.changedTo = await fetchRevision(fleet, fleet.entries[0]!);
   fleet.keyValue.faults.down = true;
   const [, replaced] = fleet.entries;
   await replaced!.process.kill();
   replaced!.process.start();
-  const started = async () => (await revisionOf(fleet, replaced!).catch(() => -1)) >= 0;
-  await eventually(started, 'the new entry answers', takeMs);
+  const started = async () => (await fetchRevision(fleet, replaced!).catch(() => -1)) >= 0;
+  await eventually(started, 'the new entry answers', waitTimeoutMs);
 });
 
 Then(
@@ -119,7 +119,7 @@
   async function check(this: ProcessesWorld) {
     const { entriesFleet: fleet } = this;
     const [, replaced] = fleet.entries;
-    await untilInForce(fleet, [replaced!], this.changedTo);
+    await waitUntilInForce(fleet, [replaced!], this.changedTo);
     const { status, body } = await change(fleet, 34, replaced);
     assert.equal(status, 503);
     assert.equal((body.error as { type: string }).type, 'not_accepted');
@@ -130,8 +130,8 @@
   const { entriesFleet: fleet } = this;
   fleet.keyValue.faults.down = false;
   const accepted = async () => (await change(fleet, 35)).status === 200;
-  await eventually(accepted, 'a change is accepted', takeMs);
-  await untilInForce(fleet, fleet.entries, this.changedTo + 1);
+  await eventually(accepted, 'a change is accepted', waitTimeoutMs);
+  await waitUntilInForce(fleet, fleet.entries, this.changedTo + 1);
 });
 
 When('an operator uses the commands', async function use(this: ProcessesWorld) {
--- a/features/steps/cutPath.steps.ts
+++ b/features/steps/cutPath.steps.ts
@@ -4,18 +4,18 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Then, When } from '@cucumber/cucumber';
 import { sendRaw } from '../support/platformCaller.js';
-import type { Got } from '../support/platformCaller.js';
+import type { CallerResponse } from '../support/platformCaller.js';
 import type { PlatformFleet } from '../support/platformFleet.js';
 
 interface CutWorld {
   platform: PlatformFleet;
-  got: Got;
+  got: CallerResponse;
 }
 
 /** Time in which a request would reach an engine, in milliseconds. */
-const reachMs = 200;
+const executionWaitMs = 200;
 
-async function textOf(socket: Socket): Promise<string> {
+async function readText(socket: Socket): Promise<string> {
   const parts: Buffer[] = [];
   socket.on('data', (part: Buffer) => parts.push(part));
   await once(socket, 'close');
@@ -24,7 +24,7 @@
 
 Then(/^its stream is (cut|whole)$/, function outcome(this: CutWorld, end: string) {
   const { status, body, isWhole } = this.got;
-  assert.equal(status, 200, JSON.stringify(this.platform.lines));
+  assert.equal(status, 200, JSON.stringify(this.platform.logEntries));
   assert.equal(isWhole, end === 'whole', body);
   const ids = [...body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
   const expected = end === 'whole' ? 12 : 5;
@@ -38,20 +38,20 @@
   /^a caller with HTTP\/1\.0 gets 505 for a stream and a whole answer otherwise$/,
   async function old(this: CutWorld) {
     const stream = sendRaw(this.platform, 'POST /stream/x HTTP/1.0', ['Content-Length: 0'], '');
-    assert.match(await textOf(stream), /^HTTP\/1\.[01] 505 /);
+    assert.match(await readText(stream), /^HTTP\/1\.[01] 505 /);
     const plain = sendRaw(this.platform, 'POST /unsafe/x HTTP/1.0', ['Content-Length: 0'], '');
-    const text = await textOf(plain);
+    const text = await readText(plain);
     const [, length] = /content-length: (\d+)/i.exec(text) ?? [];
     assert.equal(text.slice(text.indexOf('\r\n\r\n') + 4).length, Number(length));
   },
 );
 
-const halves: Readonly<Record<string, { header: string; body: string }>> = {
+const partialRequests: Readonly<Record<string, { header: string; body: string }>> = {
   'with a length': { header: 'Content-Length: 10', body: 'first' },
   'in chunks': { header: 'Transfer-Encoding: chunked', body: '5\r\nfirst\r\n' },
 };
 
-const leaves: Readonly<Record<string, (socket: Socket) => void>> = {
+const disconnects: Readonly<Record<string, (socket: Socket) => void>> = {
   closes: (socket) => socket.end(),
   resets: (socket) => socket.resetAndDestroy(),
 };
@@ -59,12 +59,12 @@
 When(
   /^a caller sends half of a body (with a length|in chunks) and (closes|resets)$/,
   async function half(this: CutWorld, framing: string, end: string) {
-    const { header, body } = halves[framing]!;
+    const { header, body } = partialRequests[framing]!;
     const socket = sendRaw(this.platform, 'POST /unsafe/x HTTP/1.1', [header], body);
     await once(socket, 'connect');
-    await sleep(reachMs);
-    leaves[end]!(socket);
-    await sleep(reachMs);
+    await sleep(executionWaitMs);
+    disconnects[end]!(socket);
+    await sleep(executionWaitMs);
     socket.destroy();
   },
 );
--- a/features/steps/fairness.steps.ts
+++ b/features/steps/fairness.steps.ts
@@ -5,15 +5,15 @@
 import type { Clock } from '@laburnumstream/common';
 import { FairQueue, policyDefaults } from '@laburnumstream/decisions';
 import { HistogramMetrics } from '@laburnumstream/runtime';
-import { FairnessRun } from '../support/fairnessRun.js';
+import { FairnessSimulation } from '../support/fairnessRun.js';
 
 const seed = 7;
-const equal = () => 1;
+const equalWeight = () => 1;
 
 Then(
   'a small workspace waits at most {int} ms while two large ones flood with long requests',
   (mostMs: number) => {
-    const run = new FairnessRun(32, equal);
+    const run = new FairnessSimulation(32, equalWeight);
     const random = new SeededRandom(seed);
     for (let index = 0; index < 2_000; index += 1) {
       run.arrive('large-1', 1, 500 + random.next() * 1_000);
@@ -28,19 +28,19 @@
 );
 
 Then('two flooding workspaces of weights 3 and 1 are served 3 to 1', () => {
-  const run = new FairnessRun(16, (workspace) => (workspace === 'heavy' ? 3 : 1));
+  const run = new FairnessSimulation(16, (workspace) => (workspace === 'heavy' ? 3 : 1));
   const random = new SeededRandom(seed);
   for (let index = 0; index < 4_000; index += 1) {
     run.arrive('heavy', 1 + Math.floor(random.next() * 3), 100);
     run.arrive('light', 1 + Math.floor(random.next() * 3), 100);
     run.advance(5);
   }
-  const ratio = run.served.get('heavy')! / run.served.get('light')!;
+  const ratio = run.startedUnits.get('heavy')! / run.startedUnits.get('light')!;
   assert.ok(Math.abs(ratio - 3) < 0.1, `${ratio}`);
 });
 
 Then('a request above the limit runs although small ones keep coming', () => {
-  const run = new FairnessRun(8, equal);
+  const run = new FairnessSimulation(8, equalWeight);
   for (let index = 0; index < 200; index += 1) {
     run.arrive(`small-${index % 20}`, 1, 100);
     run.advance(5);
@@ -50,7 +50,7 @@
 });
 
 Then('a full queue sheds the newest request of the heaviest workspace', () => {
-  const run = new FairnessRun(1, equal);
+  const run = new FairnessSimulation(1, equalWeight);
   run.arrive('a', 1, 1_000);
   run.arrive('a', 3, 1_000);
   const newest = run.arrive('a', 3, 1_000);
@@ -61,7 +61,7 @@
 });
 
 Then('a workspace that asks for more than it takes is not served less', () => {
-  const queue = new FairQueue(equal);
+  const queue = new FairQueue(equalWeight);
   const started = { honest: 0, cautious: 0 };
   const units = { honest: 1, cautious: 4 };
   const room = { limit: 100, inFlight: 0, fits: () => true };
@@ -77,7 +77,7 @@
 });
 
 /** A clock that stands still until it is set; sleeps never end by themselves. */
-class HandClock implements Clock {
+class ManualClock implements Clock {
   time = 0;
 
   now(): number {
@@ -95,14 +95,14 @@
   }
 }
 
-function gateOf(clock: Clock, maxQueue: number): EndpointGate {
+function createGate(clock: Clock, maxQueue: number): EndpointGate {
   const policy = { ...policyDefaults, coldLimit: 2, maxLimit: 2, maxQueue };
-  return new EndpointGate(policy, equal, clock, new HistogramMetrics());
+  return new EndpointGate(policy, equalWeight, clock, new HistogramMetrics());
 }
 
 Then("an agent's gate refuses a hopeless wait at once with a retry-after", async () => {
-  const clock = new HandClock();
-  const gate = gateOf(clock, 1_000);
+  const clock = new ManualClock();
+  const gate = createGate(clock, 1_000);
   const { signal } = new AbortController();
   for (let turn = 0; turn < 10; turn += 1) {
     const permit = await gate.acquire('a', 1, signal);
@@ -121,7 +121,7 @@
 });
 
 Then("a lighter workspace takes the place of a heavier one's newest waiter", async () => {
-  const gate = gateOf(new HandClock(), 2);
+  const gate = createGate(new ManualClock(), 2);
   const { signal } = new AbortController();
   const first = await gate.acquire('heavy', 2, signal);
   const waiting = gate.acquire('heavy', 1, signal);
--- a/features/steps/forwarding.steps.ts
+++ b/features/steps/forwarding.steps.ts
@@ -17,7 +17,7 @@
 import type { StreamEvent } from '@laburnumstream/decisions';
 import type { CallOutcome } from '@laburnumstream/forwarding';
 import { callEndpoint } from '../support/answerReaders.js';
-import { sendScripted, wholeBody } from '../support/scriptedAnswers.js';
+import { sendScriptedResponse, wholeBody } from '../support/scriptedAnswers.js';
 import { ScriptedEndpoint } from '../support/scriptedEndpoint.js';
 
 interface ForwardingWorld {
@@ -32,7 +32,7 @@
   /^an endpoint answers with (a length|chunks|chunks before close|neither) and (.+)$/,
   async function answer(this: ForwardingWorld, framing: string, ending: string) {
     this.scripted = await ScriptedEndpoint.start((socket) => {
-      sendScripted(socket, framing, ending);
+      sendScriptedResponse(socket, framing, ending);
     });
     this.outcome = await callEndpoint(this.scripted.address);
   },
@@ -129,7 +129,7 @@
 const readMs = 20;
 
 /** Lets entries send in turn, one request each, until none has room; returns how many were sent. */
-function fill(loads: readonly EndpointLoad[], isTold: boolean, now: number): number {
+function sendUntilFull(loads: readonly EndpointLoad[], isTold: boolean, now: number): number {
   let sent = 0;
   for (let turn = 0; turn < limits.slots * loads.length; turn += 1) {
     const load = loads[turn % loads.length]!;
@@ -146,7 +146,7 @@
 }
 
 /** Loads of one engine as `count` entries of its region see them, with 6 of 16 slots free. */
-function loadsOf(count: number): EndpointLoad[] {
+function createLoads(count: number): EndpointLoad[] {
   const random = new SeededRandom(3);
   return Array.from({ length: count }, () => {
     const load = new EndpointLoad(() => count - 1, true);
@@ -159,7 +159,7 @@
 When(
   'three entries of a region hear that an engine has 6 of 16 slots free',
   function hear(this: ForwardingWorld) {
-    this.loads = loadsOf(3);
+    this.loads = createLoads(3);
   },
 );
 
@@ -170,13 +170,13 @@
     this.loads.forEach((load, index) =>
       [0, 1, 2].forEach((name) => name === index || load.hear(`entry ${name}`, none, 1_000)),
     );
-    assert.equal(fill(this.loads, true, 1_010), 7);
+    assert.equal(sendUntilFull(this.loads, true, 1_010), 7);
     assert.ok(this.loads.every((load) => !load.hasRoom(limits, 1_010)));
   },
 );
 
 Then('at most 9 together when they do not', () => {
-  const sent = fill(loadsOf(3), false, 1_010);
+  const sent = sendUntilFull(createLoads(3), false, 1_010);
   assert.ok(sent <= 9, `${sent} sent`);
 });
 
@@ -194,12 +194,12 @@
 });
 
 /** Sends in any second that the platform's rule bears: 17 times 1.5 and 5. */
-const coldBound = 30;
+const maxColdSendsPerSecond = 30;
 
 Then(
   /^(\d+) entries send a cold engine that bears 17 a second at most (\d+) in any second$/,
-  (entries: string, bound: string) => {
-    assert.equal(Number(bound), coldBound);
+  (entries: string, retryBudget: string) => {
+    assert.equal(Number(retryBudget), maxColdSendsPerSecond);
     [1, 2, 3].forEach((seed) => {
       const random = new SeededRandom(seed);
       const share = 17 / Number(entries);
@@ -216,7 +216,7 @@
       const most = Math.max(
         ...sends.map((at) => sends.filter((s) => s >= at && s < at + 1_000).length),
       );
-      assert.ok(most <= coldBound, `${most} sends, seed ${seed}`);
+      assert.ok(most <= maxColdSendsPerSecond, `${most} sends, seed ${seed}`);
       assert.ok(sends.length >= 0.8 * 17 * 4, `${sends.length} sends in all, seed ${seed}`);
     });
   },
@@ -225,7 +225,7 @@
 const bound = { ratio: 0.2, slack: 102, windowMs: 10_000 };
 
 /** Times of requests and of the repeats that the budgets of all entries allowed. */
-function repeatsOf(entries: number, seed: number): { requests: number[]; repeats: number[] } {
+function simulateRetries(entries: number, seed: number): { requests: number[]; repeats: number[] } {
   const random = new SeededRandom(seed);
   const budgets = Array.from(
     { length: entries },
@@ -246,7 +246,7 @@
 
 Then('over seeded histories all entries together repeat within the bound in any window', () => {
   [1, 7, 46].forEach((entries) => {
-    const { requests, repeats } = repeatsOf(entries, entries);
+    const { requests, repeats } = simulateRetries(entries, entries);
     const countIn = (times: readonly number[], from: number): number =>
       times.filter((at) => at >= from && at < from + bound.windowMs).length;
     repeats.forEach((from) => {
@@ -286,7 +286,7 @@
 When(
   'eight entries of a region that heard of each other see 6 of 16 slots free at once',
   function race(this: ForwardingWorld) {
-    this.loads = loadsOf(8);
+    this.loads = createLoads(8);
     const none = { requests: 0, unreadMs: 0 };
     this.loads.forEach((load, index) =>
       this.loads.forEach((_, name) => name === index || load.hear(`entry ${name}`, none, 1_000)),
@@ -297,7 +297,7 @@
 Then(
   'they send at most 12 requests together before they hear again',
   function bounded(this: ForwardingWorld) {
-    const sent = fill(this.loads, false, 1_005);
+    const sent = sendUntilFull(this.loads, false, 1_005);
     assert.ok(sent > 0 && sent <= 12, `${sent} sent`);
   },
 );
--- a/features/steps/fuzz.steps.ts
+++ b/features/steps/fuzz.steps.ts
@@ -7,14 +7,14 @@
 import type { FleetEntry } from '@laburnumstream/bench';
 import { InvalidInput } from '@laburnumstream/common';
 import { checkManifest, parseConfiguration } from '@laburnumstream/decisions';
-import { anyJson, damagedJson, inputs, objectsWith } from '../support/fuzzInputs.js';
+import { anyJson, damagedJson, sampleInputs, objectsWith } from '../support/fuzzInputs.js';
 
 const manifestKeys = ['kind', 'model', 'version', 'size', 'chunkBytes', 'chunks', 'content'];
 const bodyKeys = ['prompt', 'max_tokens', 'adapter', 'stream', 'reason', 'id', 'scope', 'policy'];
-const mostGrowthMB = 150;
+const maxGrowthMB = 150;
 const headersTimeoutMs = 20_000;
 
-interface Answer {
+interface FuzzResponse {
   readonly status: number;
   readonly text: string;
 }
@@ -22,12 +22,12 @@
 interface FuzzWorld {
   outcomes: unknown[];
   fuzzFleet: Fleet;
-  answers: Answer[];
+  answers: FuzzResponse[];
   memoryBefore: number;
 }
 
 /** The failure that a call throws, or undefined. */
-function failureOf(call: () => unknown): unknown {
+function catchFailure(call: () => unknown): unknown {
   try {
     call();
     return undefined;
@@ -36,7 +36,7 @@
   }
 }
 
-function entryOf(world: FuzzWorld): FleetEntry {
+function getEntry(world: FuzzWorld): FleetEntry {
   return world.fuzzFleet.entries[0]!;
 }
 
@@ -52,9 +52,9 @@
     chunks: fc.oneof(fc.array(hash, { maxLength: 8 }), anyJson),
     content: hash,
   });
-  const values = inputs(fc.oneof(objectsWith(manifestKeys), nearlyValid, anyJson), count);
+  const values = sampleInputs(fc.oneof(objectsWith(manifestKeys), nearlyValid, anyJson), count);
   this.outcomes = values.map((value) =>
-    failureOf(() => {
+    catchFailure(() => {
       const { size, chunkBytes, chunks } = checkManifest(value);
       assert.equal(chunks.length, Math.ceil(size / chunkBytes));
     }),
@@ -70,8 +70,8 @@
 
 When('{int} fuzzed stored configurations are parsed', function parse(this: FuzzWorld, n: number) {
   const keys = ['revision', 'changeId', 'defaults', 'exceptions', 'dataCentres', 'audit'];
-  const texts = inputs(damagedJson(fc.oneof(objectsWith(keys), anyJson)), n);
-  this.outcomes = texts.map((text) => failureOf(() => parseConfiguration(text)));
+  const texts = sampleInputs(damagedJson(fc.oneof(objectsWith(keys), anyJson)), n);
+  this.outcomes = texts.map((text) => catchFailure(() => parseConfiguration(text)));
 });
 
 Then('each is parsed or refused as invalid input', function check(this: FuzzWorld) {
@@ -82,14 +82,14 @@
 
 Given('a fleet to fuzz', async function start(this: FuzzWorld) {
   this.fuzzFleet = await Fleet.start(small, { logLevel: 'error' });
-  this.memoryBefore = residentMB(entryOf(this).process.pid);
+  this.memoryBefore = residentMB(getEntry(this).process.pid);
 });
 
 After(async function close(this: Partial<FuzzWorld>) {
   await this.fuzzFleet?.close();
 });
 
-async function send(url: string, path: string, body: string, token: string): Promise<Answer> {
+async function send(url: string, path: string, body: string, token: string): Promise<FuzzResponse> {
   const response = await request(new URL(path, url), {
     method: 'POST',
     headers: { authorization: `Bearer ${token}` },
@@ -100,7 +100,7 @@
 }
 
 async function sendAll(url: string, token: string, paths: string[], bodies: string[]) {
-  const answers: Answer[] = [];
+  const answers: FuzzResponse[] = [];
   for (const [index, body] of bodies.entries()) {
     answers.push(await send(url, paths[index]!, body, token));
   }
@@ -109,25 +109,25 @@
 
 When('an entry gets {int} fuzzed caller requests', async function fuzz(this: FuzzWorld, n: number) {
   const wrong = fc.record({ prompt: fc.constantFrom('', 0, null, []), max_tokens: anyJson });
-  const bodies = inputs(damagedJson(fc.oneof(wrong, objectsWith(['adapter', 'stream']))), n);
+  const bodies = sampleInputs(damagedJson(fc.oneof(wrong, objectsWith(['adapter', 'stream']))), n);
   const services = fc.constantFrom('assistant', 'desk', 'none', '..', '%00');
   const kinds = fc.constantFrom('completions', 'calls/../x', 'completions/', '');
   const path = fc
     .tuple(services, kinds)
     .map(([service, kind]) => `/v1/services/${service}/${kind}`);
-  const paths = inputs(path, n).map((each) => each.replace('desk/calls', 'none/calls'));
-  this.answers = await sendAll(entryOf(this).callers, 'token-of-workspace-0', paths, bodies);
+  const paths = sampleInputs(path, n).map((each) => each.replace('desk/calls', 'none/calls'));
+  this.answers = await sendAll(getEntry(this).callers, 'token-of-workspace-0', paths, bodies);
 });
 
 When(
   'an entry gets {int} fuzzed operator requests',
   async function fuzz(this: FuzzWorld, n: number) {
-    const bodies = inputs(damagedJson(objectsWith(bodyKeys)), n).map((text) =>
+    const bodies = sampleInputs(damagedJson(objectsWith(bodyKeys)), n).map((text) =>
       text.replace('"reason"', '"reazon"'),
     );
     const part = fc.constantFrom('configuration', 'exceptions', 'roll-outs/none', 'x', 'status');
-    const paths = inputs(part, n).map((each) => `/admin/v1/${each}`);
-    this.answers = await sendAll(entryOf(this).operators, operatorToken, paths, bodies);
+    const paths = sampleInputs(part, n).map((each) => `/admin/v1/${each}`);
+    this.answers = await sendAll(getEntry(this).operators, operatorToken, paths, bodies);
   },
 );
 
@@ -148,8 +148,8 @@
       assert.equal(error.execution, 'not run');
     });
     await assertServes(this.fuzzFleet);
-    const growth = residentMB(entryOf(this).process.pid) - this.memoryBefore;
-    assert.ok(growth < mostGrowthMB, `The entry grew by ${growth} MB.`);
+    const growth = residentMB(getEntry(this).process.pid) - this.memoryBefore;
+    assert.ok(growth < maxGrowthMB, `The entry grew by ${growth} MB.`);
   },
 );
 
@@ -167,8 +167,8 @@
   'entry and agent get {int} connections of random bytes',
   async function fuzz(this: FuzzWorld, count: number) {
     const preface = Buffer.from('PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n');
-    const bytes = inputs(fc.tuple(fc.boolean(), fc.uint8Array({ maxLength: 200 })), count);
-    const addresses = [entryOf(this).internal, this.fuzzFleet.agents[0]!.internal];
+    const bytes = sampleInputs(fc.tuple(fc.boolean(), fc.uint8Array({ maxLength: 200 })), count);
+    const addresses = [getEntry(this).internal, this.fuzzFleet.agents[0]!.internal];
     for (const [withPreface, part] of bytes) {
       const content = withPreface ? Buffer.concat([preface, part]) : part;
       await Promise.all(addresses.map((address) => sendBytes(address, content)));
@@ -177,7 +177,7 @@
 );
 
 Then('both processes live and the entry still serves', async function check(this: FuzzWorld) {
-  const { process: entryProcess } = entryOf(this);
+  const { process: entryProcess } = getEntry(this);
   assert.ok(entryProcess.isRunning);
   assert.ok(this.fuzzFleet.agents[0]!.process.isRunning);
   await assertServes(this.fuzzFleet);
--- a/features/steps/growth.steps.ts
+++ b/features/steps/growth.steps.ts
@@ -22,12 +22,12 @@
 import { VirtualClock } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
 import {
-  GrownFleet,
-  anywhere,
-  grownEndpoint,
-  grownService,
-  noMetrics,
-  quietLog,
+  LargeFleet,
+  anyEndpoint,
+  createEndpoint,
+  testService,
+  noopMetrics,
+  noopLog,
 } from '../support/grownFleet.js';
 import { countVisits } from '../support/visits.js';
 
@@ -45,30 +45,30 @@
   calls: Map<number, number>;
 }
 
-const sizes = [10, 100, 700] as const;
-const many = 700;
+const entryCounts = [10, 100, 700] as const;
+const largestSize = 700;
 const demand = { promptTokens: 0, answerTokens: 0 };
-const idle = { running: 0, waiting: 0, pace: 1 };
+const idleReport = { running: 0, waiting: 0, pace: 1 };
 
-function workOf(measure: (entries: number) => number): Map<number, number> {
-  return new Map(sizes.map((entries) => [entries, measure(entries)]));
+function measureBySize(measure: (entries: number) => number): Map<number, number> {
+  return new Map(entryCounts.map((entries) => [entries, measure(entries)]));
 }
 
-function isFlat(work: ReadonlyMap<number, number>): void {
-  assert.equal(work.get(many), work.get(sizes[0]), JSON.stringify([...work]));
+function assertIndependentOfSize(work: ReadonlyMap<number, number>): void {
+  assert.equal(work.get(largestSize), work.get(entryCounts[0]), JSON.stringify([...work]));
 }
 
 When(
   '40 endpoints are asked for room with 10, 100 and 700 entries',
   function ask(this: GrowthWorld) {
-    this.work = workOf((entries) => {
-      const { directory, regions } = new GrownFleet(entries, 40);
+    this.work = measureBySize((entries) => {
+      const { directory, regions } = new LargeFleet(entries, 40);
       const random = new SeededRandom(2);
       [...directory.all].forEach((handle) =>
-        handle.applyLoadReport(idle, directory.getCapacitySharers(handle.region), random, 0),
+        handle.applyLoadReport(idleReport, directory.getCapacitySharers(handle.region), random, 0),
       );
       regions.lookups = 0;
-      bestPlacement(directory.available(grownService, anywhere), demand, 0, random);
+      bestPlacement(directory.available(testService, anyEndpoint), demand, 0, random);
       return regions.lookups;
     });
   },
@@ -77,29 +77,31 @@
 Then(
   'the regions looked up are as many with 700 entries as with 10',
   function flat(this: GrowthWorld) {
-    isFlat(this.work);
+    assertIndependentOfSize(this.work);
   },
 );
 
 When(
   'an endpoint with 10, 100 and 700 entries that told their loads is asked for room',
   function ask(this: GrowthWorld) {
-    this.work = workOf((entries) => {
+    this.work = measureBySize((entries) => {
       const load = new EndpointLoad(() => entries, true);
-      load.report(idle, 0, 3, 0);
+      load.report(idleReport, 0, 3, 0);
       for (let entry = 0; entry < entries; entry += 1) {
         load.hear(`front-${entry}`, { requests: 1, unreadMs: 2 }, 1);
       }
-      return countVisits(() => load.hasRoom({ slots: many * 2, spare: 1, unreadMs: 1e6 }, 2));
+      return countVisits(() =>
+        load.hasRoom({ slots: largestSize * 2, spare: 1, unreadMs: 1e6 }, 2),
+      );
     });
   },
 );
 
 Then('the loads read are as many with 700 entries as with 10', function flat(this: GrowthWorld) {
-  isFlat(this.work);
+  assertIndependentOfSize(this.work);
 });
 
-const telling = fc.record({
+const loadUpdate = fc.record({
   entry: fc.integer({ min: 0, max: 6 }),
   requests: fc.integer({ min: 0, max: 9 }),
   unreadMs: fc.integer({ min: 0, max: 300 }),
@@ -109,7 +111,7 @@
 
 Then('sums of loads told equal those of the loads that are fresh, for any history', () => {
   fc.assert(
-    fc.property(fc.array(telling, { maxLength: 40 }), (tellings) => {
+    fc.property(fc.array(loadUpdate, { maxLength: 40 }), (tellings) => {
       const loads = new PeerLoads();
       const last = new Map<number, { requests: number; unreadMs: number; at: number }>();
       let now = 0;
@@ -136,10 +138,10 @@
   );
 });
 
-function requestOf(id: string): PlacementRequest {
+function createRequest(id: string): PlacementRequest {
   return {
     id,
-    service: grownService,
+    service: testService,
     workspace: 'w',
     priority: 1,
     isReturned: false,
@@ -148,14 +150,14 @@
     startBy: 5_000,
     demand,
     fairnessGroups: ['r'],
-    eligibility: anywhere,
+    eligibility: anyEndpoint,
     goalAt: 6_000,
     deadlineAt: 7_000,
   };
 }
 
 /** A choice of endpoints that notes how many are asked for room. */
-function notingChoice(
+function createCountingSource(
   handles: readonly EndpointHandle[],
   hasRoom: (handle: EndpointHandle) => boolean,
   asked: number[],
@@ -172,36 +174,38 @@
 
 When('a request is refused by a line with 700 endpoints', async function refuse(this: GrowthWorld) {
   this.asked = [];
-  const { directory, clock } = new GrownFleet(7, many);
-  const choice = notingChoice([...directory.all], () => false, this.asked);
-  const line = new DispatchQueue(choice, clock, new SeededRandom(3), noMetrics, quietLog);
-  const late = { ...requestOf('late'), startBy: -1 };
+  const { directory, clock } = new LargeFleet(7, largestSize);
+  const choice = createCountingSource([...directory.all], () => false, this.asked);
+  const line = new DispatchQueue(choice, clock, new SeededRandom(3), noopMetrics, noopLog);
+  const late = { ...createRequest('late'), startBy: -1 };
   await assert.rejects(line.place(late, new AbortController().signal), Unavailable);
 });
 
 Then('each endpoint was asked for room once', function once(this: GrowthWorld) {
-  assert.deepEqual(this.asked, [many]);
+  assert.deepEqual(this.asked, [largestSize]);
 });
 
 When(
   '20 requests wait for 700 endpoints and one of them gets room',
   async function wait(this: GrowthWorld) {
     Object.assign(this, { asked: [], placed: [] });
-    const { directory, clock } = new GrownFleet(7, many);
+    const { directory, clock } = new LargeFleet(7, largestSize);
     const open = new Set<EndpointHandle>();
     const handles = [...directory.all];
-    const choice = notingChoice(handles, (handle) => open.has(handle), this.asked);
-    const line = new DispatchQueue(choice, clock, new SeededRandom(3), noMetrics, quietLog);
+    const choice = createCountingSource(handles, (handle) => open.has(handle), this.asked);
+    const line = new DispatchQueue(choice, clock, new SeededRandom(3), noopMetrics, noopLog);
     for (let index = 0; index < 20; index += 1) {
-      void line.place(requestOf(`r${index}`), new AbortController().signal).then(({ target }) => {
-        this.placed.push(target.id);
-        open.delete(target);
-      });
+      void line
+        .place(createRequest(`r${index}`), new AbortController().signal)
+        .then(({ target }) => {
+          this.placed.push(target.id);
+          open.delete(target);
+        });
     }
     const free = handles[500]!;
     open.add(free);
     this.asked.length = 0;
-    line.dispatch(grownService, free);
+    line.dispatch(testService, free);
     await Promise.resolve();
   },
 );
@@ -221,11 +225,11 @@
 When(
   'one of 40 endpoints leaves while it runs a request, and the request ends',
   function leave(this: GrowthWorld) {
-    const { directory, state } = new GrownFleet(7, 40);
+    const { directory, state } = new LargeFleet(7, 40);
     const left = [...directory.all][5]!;
     state.removeEndpoint(left.id);
     directory.refresh();
-    this.placed = directory.available(grownService, anywhere, [left]).map(({ id }) => id);
+    this.placed = directory.available(testService, anyEndpoint, [left]).map(({ id }) => id);
   },
 );
 
@@ -234,7 +238,7 @@
 });
 
 /** A store with a list that does not change, and the codec of its values. */
-function listOf(count: number): { store: StoreFeed; codec: FleetCodec } {
+function createStaticStore(count: number): { store: StoreFeed; codec: FleetCodec } {
   const values = Array.from({ length: count }, (_, index) => ({
     key: `${index}`,
     value: '',
@@ -251,13 +255,13 @@
     prefix: '',
     entryKey: (name) => name,
     encodeEntry: () => '',
-    decode: ({ key }) => ({ kind: 'endpoint', id: `e${key}`, endpoint: grownEndpoint(+key) }),
+    decode: ({ key }) => ({ kind: 'endpoint', id: `e${key}`, endpoint: createEndpoint(+key) }),
   };
   return { store, codec };
 }
 
 /** A feed of a state from a store. */
-function feedOf(
+function createWatcher(
   { store, codec }: { store: StoreFeed; codec: FleetCodec },
   state: FleetState,
   clock: VirtualClock,
@@ -271,8 +275,8 @@
     proof,
     proofClock,
     clock,
-    noMetrics,
-    quietLog,
+    noopMetrics,
+    noopLog,
     8_000,
   );
 }
@@ -280,15 +284,15 @@
 When('an entry reads a list with 700 endpoints', async function read(this: GrowthWorld) {
   this.builds = 0;
   const abort = new AbortController();
-  const state = new FleetState(noMetrics, quietLog, () => {
+  const state = new FleetState(noopMetrics, noopLog, () => {
     this.builds += 1;
   });
-  void feedOf(listOf(many), state, new VirtualClock()).run(abort.signal);
+  void createWatcher(createStaticStore(largestSize), state, new VirtualClock()).run(abort.signal);
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
   abort.abort();
-  assert.equal(state.endpoints.size, many);
+  assert.equal(state.endpoints.size, largestSize);
 });
 
 Then('its routing tables are built once', function once(this: GrowthWorld) {
@@ -296,7 +300,10 @@
 });
 
 /** Sends one datagram to some receivers on one port; returns how often its content was read. */
-async function readsOf(receivers: number, received: Map<number, number>): Promise<number> {
+async function countContentReads(
+  receivers: number,
+  received: Map<number, number>,
+): Promise<number> {
   const abort = new AbortController();
   const clock = new SystemClock();
   const [port] = await freePorts(1);
@@ -305,9 +312,9 @@
     received.set(receivers, (received.get(receivers) ?? 0) + 1);
   };
   const binds = hosts.map((host) =>
-    new FleetDatagrams(host, { load }, clock, noMetrics, quietLog).bind(host, port!, abort.signal),
+    new FleetDatagrams(host, { load }, clock, noopMetrics, noopLog).bind(host, port!, abort.signal),
   );
-  const sender = new FleetDatagrams('front-0', {}, clock, noMetrics, quietLog);
+  const sender = new FleetDatagrams('front-0', {}, clock, noopMetrics, noopLog);
   await Promise.all([...binds, sender.bind('127.0.0.1', port!, abort.signal)]);
   let reads = 0;
   const value = {
@@ -325,8 +332,8 @@
 When('the same is sent to 1 and to 11 other processes', async function send(this: GrowthWorld) {
   this.received = new Map();
   this.reads = new Map([
-    [1, await readsOf(1, this.received)],
-    [11, await readsOf(11, this.received)],
+    [1, await countContentReads(1, this.received)],
+    [11, await countContentReads(11, this.received)],
   ]);
 });
 
@@ -337,10 +344,10 @@
 });
 
 /** Calls in 10 s of one of some entries to a store that answers each watch with a change. */
-async function callsOf(entries: number): Promise<number> {
+async function countStoreCalls(entries: number): Promise<number> {
   const abort = new AbortController();
-  const { clock, state } = new GrownFleet(entries, 1);
-  const { store, codec } = listOf(entries);
+  const { clock, state } = new LargeFleet(entries, 1);
+  const { store, codec } = createStaticStore(entries);
   let calls = 0;
   const changing: StoreFeed = {
     snapshot: (prefix, signal) => store.snapshot(prefix, signal),
@@ -355,7 +362,7 @@
     ...codec,
     decode: ({ key }) => ({ kind: 'entry', name: `front-${key}`, location: place }),
   };
-  void feedOf({ store: changing, codec: registering }, state, clock).run(abort.signal);
+  void createWatcher({ store: changing, codec: registering }, state, clock).run(abort.signal);
   await clock.runUntil(10_000);
   abort.abort();
   return calls;
@@ -365,8 +372,8 @@
   '7 and 38 entries follow a store with a change each 20 ms for 10 seconds',
   async function follow(this: GrowthWorld) {
     this.calls = new Map([
-      [7, await callsOf(7)],
-      [38, await callsOf(38)],
+      [7, await countStoreCalls(7)],
+      [38, await countStoreCalls(38)],
     ]);
   },
 );
--- a/features/steps/growthPlans.steps.ts
+++ b/features/steps/growthPlans.steps.ts
@@ -2,38 +2,38 @@
 import { Then } from '@cucumber/cucumber';
 import { NewsTellers, reportIntervalMs } from '@laburnumstream/decisions';
 
-const sizes = [10, 100, 700] as const;
-const mostTellers = 4;
+const entryCounts = [10, 100, 700] as const;
+const maxSenders = 4;
 
-function namesOf(entries: number): string[] {
+function createNames(entries: number): string[] {
   return Array.from({ length: entries }, (_, index) => `front-${index}`);
 }
 
 /** Names of the entries that tell an agent, of all that know each other. */
-function tellersOf(agent: string, entries: readonly string[]): string[] {
+function findSenders(agent: string, entries: readonly string[]): string[] {
   return entries.filter((name) => {
     const tellers = new NewsTellers(name);
     tellers.take(entries);
-    return tellers.isAmong(agent, mostTellers);
+    return tellers.isAmong(agent, maxSenders);
   });
 }
 
 Then('each of 5 agents hears each second from 4 of 10, 100 and 700 entries', () => {
-  sizes.forEach((entries) => {
-    const names = namesOf(entries);
-    const perAgent = Array.from({ length: 5 }, (_, agent) => tellersOf(`10.0.0.${agent}`, names));
-    perAgent.forEach((tellers) => assert.equal(tellers.length, mostTellers));
+  entryCounts.forEach((entries) => {
+    const names = createNames(entries);
+    const perAgent = Array.from({ length: 5 }, (_, agent) => findSenders(`10.0.0.${agent}`, names));
+    perAgent.forEach((tellers) => assert.equal(tellers.length, maxSenders));
   });
 });
 
 Then('an entry that leaves changes nothing for agents that it did not tell', () => {
-  const names = namesOf(20);
+  const names = createNames(20);
   const left = names.slice(1);
   const agents = Array.from({ length: 40 }, (_, agent) => `10.0.0.${agent}`);
   agents.forEach((agent) => {
-    const before = tellersOf(agent, names);
+    const before = findSenders(agent, names);
     if (before.includes('front-0')) return;
-    assert.deepEqual(tellersOf(agent, left), before);
+    assert.deepEqual(findSenders(agent, left), before);
   });
 });
 
--- a/features/steps/heavyDays.steps.ts
+++ b/features/steps/heavyDays.steps.ts
@@ -10,16 +10,16 @@
 
 const seeds = [1, 2, 3] as const;
 const seconds = 20;
-const wayNames = ['own', 'bare-cap', 'first-come'] as const;
+const policyNames = ['own', 'bare-cap', 'first-come'] as const;
 
-async function play(way: string, engines: number): Promise<HeavyOutcome[]> {
+async function runPolicy(way: string, engines: number): Promise<HeavyOutcome[]> {
   const shape = { engines, entries: 7, regions: 3, factor: 1, seconds, way };
   return Promise.all(seeds.map((seed) => new HeavyDay({ ...shape, seed }).run()));
 }
 
-async function playAll(engines: number): Promise<HeavyWorld['heavy']> {
+async function runAllPolicies(engines: number): Promise<HeavyWorld['heavy']> {
   const played = new Map<string, HeavyOutcome[]>();
-  for (const way of wayNames) played.set(way, await play(way, engines));
+  for (const way of policyNames) played.set(way, await runPolicy(way, engines));
   return played;
 }
 
@@ -33,18 +33,18 @@
 When(
   '6 engines are asked for a third more than they can do',
   async function over(this: HeavyWorld) {
-    this.heavy = await playAll(6);
+    this.heavy = await runAllPolicies(6);
   },
 );
 
 When('9 engines are asked for nearly all that they can do', async function full(this: HeavyWorld) {
-  this.heavy = await playAll(9);
+  this.heavy = await runAllPolicies(9);
 });
 
 Then(
   "the product's way has more in time than first-come and than a bare cap with each seed",
   function compare(this: HeavyWorld) {
-    const [own, cap, first] = wayNames.map((way) =>
+    const [own, cap, first] = policyNames.map((way) =>
       this.heavy.get(way)!.map(({ inTime }) => inTime),
     );
     own!.forEach((served, index) => {
--- a/features/steps/histories.steps.ts
+++ b/features/steps/histories.steps.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 
 const propertySeed = 7;
-const plantedHistories = 60;
+const historiesWithFault = 60;
 
 type Finding = 'mostRuns' | 'falseNotRun' | 'lostOrCrossed';
 
@@ -14,14 +14,14 @@
   plantedVerdicts: Verdicts[];
 }
 
-const moment = fc.integer({ min: 0, max: 2_000 });
+const timeMs = fc.integer({ min: 0, max: 2_000 });
 
 const plans: fc.Arbitrary<HistoryPlan> = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   faults: fc.array(
     fc.record({
       kind: fc.constantFrom(...Object.values(FaultKind)),
-      atMs: moment,
+      atMs: timeMs,
       agent: fc.integer({ min: 0, max: 2 }),
       entry: fc.integer({ min: 0, max: 1 }),
       lengthMs: fc.integer({ min: 1, max: 10_000 }),
@@ -31,7 +31,7 @@
   requests: fc.array(
     fc.record({
       kind: fc.constantFrom(...Object.values(RequestKind)),
-      atMs: moment,
+      atMs: timeMs,
       entry: fc.integer({ min: 0, max: 1 }),
       hasty: fc.boolean(),
     }),
@@ -63,7 +63,7 @@
   'histories run with the planted fault {word}',
   async function plant(this: HistoriesWorld, name: keyof typeof Plant) {
     this.plantedVerdicts = [];
-    for (let seed = 1; seed <= plantedHistories; seed += 1) {
+    for (let seed = 1; seed <= historiesWithFault; seed += 1) {
       this.plantedVerdicts.push(await runHistory(drawPlan(seed, 6, 12), Plant[name]));
     }
   },
--- a/features/steps/holderTransfer.steps.ts
+++ b/features/steps/holderTransfer.steps.ts
@@ -10,7 +10,7 @@
 
 const seeds = [1, 2, 3] as const;
 const secondMs = 1_000;
-const never = { fromMs: 0, untilMs: 0 };
+const noOutage = { fromMs: 0, untilMs: 0 };
 const work: Omit<HolderWork, 'seed'> = {
   regions: [7, 7, 5],
   holders: [0, 0, 0],
@@ -24,11 +24,11 @@
   window: 4,
   queue: 0,
   dying: 0,
-  originDown: never,
+  originDown: noOutage,
 };
 const originMs = ((work.chunks * work.chunkBytes * 8) / work.originRate) * secondMs;
-const origins: Readonly<Record<string, HolderWork['originDown']>> = {
-  up: never,
+const originOutages: Readonly<Record<string, HolderWork['originDown']>> = {
+  up: noOutage,
   'away after 1600 ms': { fromMs: 1_600, untilMs: 60_000 },
   'away for 400 to 3000': { fromMs: 400, untilMs: 3_000 },
 };
@@ -36,7 +36,7 @@
 When(
   /^19 empty members fetch a version and the origin is (.+)$/,
   function fetch(this: HolderWorld, name: string) {
-    const originDown = origins[name]!;
+    const originDown = originOutages[name]!;
     this.holderOutcomes = seeds.map((seed) => new HolderRun({ ...work, originDown, seed }).run());
   },
 );
--- a/features/steps/logs.steps.ts
+++ b/features/steps/logs.steps.ts
@@ -16,7 +16,7 @@
   story: string;
 }
 
-const kinds = ['Request placed.', 'Request refused.', 'Request failed.'];
+const loggedMessages = ['Request placed.', 'Request refused.', 'Request failed.'];
 const perSecond = 2_000;
 const seconds = 3;
 const secondMs = 1_000;
@@ -27,7 +27,7 @@
   this.leftOut = 0;
   for (let request = 0; request < perSecond * seconds; request += 1) {
     const now = (request / perSecond) * secondMs;
-    kinds.forEach((kind) => {
+    loggedMessages.forEach((kind) => {
       const name = `${kind} ${Math.floor(now / secondMs)}`;
       if (this.budget.takes(kind, now)) this.written.set(name, (this.written.get(name) ?? 0) + 1);
       else this.leftOut += 1;
@@ -48,7 +48,7 @@
 Then(
   'at most 100 lines of each kind are written in a second and the others are counted',
   function bounded(this: LogsWorld) {
-    assert.equal(this.written.size, kinds.length * seconds);
+    assert.equal(this.written.size, loggedMessages.length * seconds);
     this.written.forEach((lines) => assert.equal(lines, 100));
     const told = this.budget.takeLeftOut().reduce((sum, { lines }) => sum + lines, 0);
     assert.equal(told, this.leftOut);
@@ -85,7 +85,7 @@
   },
 );
 
-function toLine({ message, fields }: PlatformFleet['lines'][number], index: number): LogLine {
+function toLine({ message, fields }: PlatformFleet['logEntries'][number], index: number): LogLine {
   const timestamp = new Date(index).toISOString();
   return parseLogLine(
     `front-1 ${JSON.stringify({ timestamp, instance: 'front-1', message, ...fields })}`,
@@ -93,7 +93,7 @@
 }
 
 Then(/^the explanation of its id names (.+)$/, function explain(this: LogsWorld, cause: string) {
-  const lines = this.platform.lines.map(toLine);
+  const lines = this.platform.logEntries.map(toLine);
   const last = lines.filter(({ message }) => message.endsWith('Request failed.')).at(-1)!;
   const explanation = new Explanation(String(last.id));
   lines.forEach((line) => explanation.take(line));
--- a/features/steps/membership.steps.ts
+++ b/features/steps/membership.steps.ts
@@ -29,7 +29,7 @@
   memberAnswer: number;
 }
 
-function recordOf(name: string, fields: Partial<MemberRecord> = {}): MemberRecord {
+function createRecord(name: string, fields: Partial<MemberRecord> = {}): MemberRecord {
   return {
     name,
     role: 'agent',
@@ -46,7 +46,7 @@
   };
 }
 
-function compare(a: Membership, b: Membership, now: number): void {
+function exchangeRecords(a: Membership, b: Membership, now: number): void {
   a.changesAfter(0).records.forEach((record) => b.learn(record, now));
   b.changesAfter(0).records.forEach((record) => a.learn(record, now));
 }
@@ -59,14 +59,14 @@
 When(
   'member {word} sends heartbeat {int} as {word}',
   function beat(this: MembershipWorld, name: string, number: number, state: MemberState) {
-    this.memberView.hear(recordOf(name, { beat: number, state }), this.memberNow);
+    this.memberView.hear(createRecord(name, { beat: number, state }), this.memberNow);
   },
 );
 
 When(
   'member {word} sends heartbeat {int} of incarnation {int}',
   function beat(this: MembershipWorld, name: string, number: number, incarnation: number) {
-    const record = recordOf(name, { beat: number, incarnation });
+    const record = createRecord(name, { beat: number, incarnation });
     this.memberAnswer = this.memberView.hear(record, this.memberNow);
   },
 );
@@ -79,7 +79,7 @@
 When(
   'another entry tells of heartbeat {int} of member {word}',
   function tell(this: MembershipWorld, beat: number, name: string) {
-    this.memberView.learn(recordOf(name, { beat }), this.memberNow);
+    this.memberView.learn(createRecord(name, { beat }), this.memberNow);
   },
 );
 
@@ -126,14 +126,14 @@
 Given('two membership views that hear the same member', function views(this: MembershipWorld) {
   this.memberView = new Membership('north-a', bounds);
   this.memberOther = new Membership('north-a', bounds);
-  this.memberView.hear(recordOf('agent-1', { beat: 1 }), 0);
-  this.memberOther.hear(recordOf('agent-1', { beat: 2 }), 0);
+  this.memberView.hear(createRecord('agent-1', { beat: 1 }), 0);
+  this.memberOther.hear(createRecord('agent-1', { beat: 2 }), 0);
 });
 
 When('the first one no longer hears it', function cut(this: MembershipWorld) {
-  this.memberView.hear(recordOf('agent-1', { beat: 3 }), 0);
+  this.memberView.hear(createRecord('agent-1', { beat: 3 }), 0);
   for (let beat = 4; beat < 9; beat += 1) {
-    this.memberOther.hear(recordOf('agent-1', { beat }), beat * 500);
+    this.memberOther.hear(createRecord('agent-1', { beat }), beat * 500);
   }
   this.memberNow = 4_000;
   this.memberView.sweep(this.memberNow);
@@ -143,8 +143,8 @@
 Then(
   'the member is alive for both after they have compared',
   function check(this: MembershipWorld) {
-    compare(this.memberView, this.memberOther, this.memberNow);
-    compare(this.memberView, this.memberOther, this.memberNow);
+    exchangeRecords(this.memberView, this.memberOther, this.memberNow);
+    exchangeRecords(this.memberView, this.memberOther, this.memberNow);
     [this.memberView, this.memberOther].forEach((view) => {
       view.sweep(this.memberNow + 100);
       assert.equal(view.standing('agent-1', this.memberNow + 100), Standing.alive);
@@ -155,7 +155,7 @@
 When(
   'a member of south-a is known and south-a is silent for {int} ms',
   function silent(this: MembershipWorld, ms: number) {
-    this.memberView.learn(recordOf('agent-2', { dataCentre: 'south-a' }), 0);
+    this.memberView.learn(createRecord('agent-2', { dataCentre: 'south-a' }), 0);
     this.memberView.confirm('south-a', 0, 0);
     assert.equal(this.memberView.standing('agent-2', 0), Standing.alive);
     this.memberNow = ms;
@@ -186,7 +186,7 @@
 });
 
 /** Plays a history and returns its views; `check` sees every view after each event. */
-function play(
+function runHistory(
   events: readonly HistoryEvent[],
   check: (views: readonly Membership[], left: ReadonlyMap<string, number>) => void,
 ): { views: Membership[]; now: number } {
@@ -205,7 +205,7 @@
       self.beat += 1;
       const { incarnation, beat } = self;
       const state = self.leaving ? MemberState.leaving : MemberState.alive;
-      views[view]!.hear(recordOf(`agent-${member}`, { incarnation, beat, state }), now);
+      views[view]!.hear(createRecord(`agent-${member}`, { incarnation, beat, state }), now);
       if (self.leaving) left.set(`${view} agent-${member}`, incarnation);
     }
     const told = views[view]!.changesAfter(0).records;
@@ -218,9 +218,9 @@
 
 Then('views agree after comparing, whatever was lost, repeated or late', () => {
   const property = fc.property(fc.array(historyEvent, { maxLength: 60 }), (events) => {
-    const { views, now } = play(events, () => undefined);
+    const { views, now } = runHistory(events, () => undefined);
     for (let round = 0; round < 3; round += 1) {
-      views.forEach((a) => views.forEach((b) => compare(a, b, now)));
+      views.forEach((a) => views.forEach((b) => exchangeRecords(a, b, now)));
     }
     const states = views.map((view) =>
       view.present().map(({ name, incarnation, state }) => [name, incarnation, state]),
@@ -235,7 +235,7 @@
 
 Then('no view takes a leaving member for alive again', () => {
   const property = fc.property(fc.array(historyEvent, { maxLength: 60 }), (events) => {
-    play(events, (views, left) => {
+    runHistory(events, (views, left) => {
       left.forEach((incarnation, key) => {
         const [view = '0', name = ''] = key.split(' ');
         const record = views[Number(view)]!.get(name);
@@ -247,21 +247,21 @@
   fc.assert(property, { seed, numRuns: 500 });
 });
 
-const centreCount = 6;
+const dataCentreCount = 6;
 
-function peers(count: number, prefix: string): Peer[] {
+function createPeers(count: number, prefix: string): Peer[] {
   return Array.from({ length: count }, (_, index) => ({
     name: `${prefix}-${index}`,
     region: `region-${index % 2}`,
-    dataCentre: `dc-${index % centreCount}`,
+    dataCentre: `dc-${index % dataCentreCount}`,
     address: `http://127.0.0.1:${index}`,
   }));
 }
 
 Then('760 agents spread evenly over the entries of their data centres', () => {
-  const entries = peers(370, 'entry');
+  const entries = createPeers(370, 'entry');
   const load = new Map<string, number>();
-  peers(760, 'agent').forEach((agent) => {
+  createPeers(760, 'agent').forEach((agent) => {
     const observers = chooseObservers(agent, entries, 3);
     assert.equal(observers.length, 3);
     observers.forEach(({ name, dataCentre }) => {
@@ -277,7 +277,7 @@
 Then(
   "every entry is some other's partner and news reach all within {int} rounds",
   (rounds: number) => {
-    const entries = peers(370, 'entry');
+    const entries = createPeers(370, 'entry');
     const own = entries.filter(({ dataCentre }) => dataCentre === 'dc-0');
     const partners = new Map(own.map((entry) => [entry.name, choosePartners(entry, entries, 3)]));
     const chosen = new Set([...partners.values()].flat().map(({ name }) => name));
--- a/features/steps/metrics.steps.ts
+++ b/features/steps/metrics.steps.ts
@@ -3,8 +3,8 @@
 import { Then, When } from '@cucumber/cucumber';
 import type { HistogramMetrics } from '@laburnumstream/runtime';
 import { eventually } from '../support/assertions.js';
-import { valueOf } from '../support/metricsText.js';
-import { modelConfiguration, platformHost } from '../support/platformFleet.js';
+import { sumMetric } from '../support/metricsText.js';
+import { createModelConfiguration, platformHost } from '../support/platformFleet.js';
 import type { PlatformFleet } from '../support/platformFleet.js';
 
 interface MetricsWorld {
@@ -14,10 +14,10 @@
 }
 
 /** More requests than an entry sends to one endpoint at once. */
-const crowd = 100;
+const concurrentRequests = 100;
 
 /** Sends a request that nobody waits for; the signal makes its caller leave. */
-function sendOnly(
+function sendWithoutWaiting(
   { settings }: PlatformFleet,
   path: string,
   id: string,
@@ -48,26 +48,26 @@
   async function count(this: MetricsWorld, route: string, outcome: string, reason: string) {
     const { metrics } = this.platform;
     const labels = { route, outcome, reason };
-    await eventually(() => valueOf(metrics, 'requests_total', { route }) > 0, 'it is counted');
-    assert.equal(valueOf(metrics, 'requests_total', labels), 1, metrics.render());
-    assert.equal(valueOf(metrics, 'requests_total', { route }), 1, metrics.render());
+    await eventually(() => sumMetric(metrics, 'requests_total', { route }) > 0, 'it is counted');
+    assert.equal(sumMetric(metrics, 'requests_total', labels), 1, metrics.render());
+    assert.equal(sumMetric(metrics, 'requests_total', { route }), 1, metrics.render());
   },
 );
 
 When(
   /^a caller sends a request to (\w+) and leaves early$/,
   function leave(this: MetricsWorld, route: string) {
-    sendOnly(this.platform, `/${route}/x`, 'left', AbortSignal.timeout(300));
+    sendWithoutWaiting(this.platform, `/${route}/x`, 'left', AbortSignal.timeout(300));
   },
 );
 
 Then('no stream counts as cut', function uncut(this: MetricsWorld) {
-  assert.equal(valueOf(this.platform.metrics, 'streams_cut_total'), 0);
+  assert.equal(sumMetric(this.platform.metrics, 'streams_cut_total'), 0);
 });
 
-function refusedOf({ metrics }: PlatformFleet): number {
+function countRefused({ metrics }: PlatformFleet): number {
   const labels = { route: 'unsafe', outcome: 'refused', reason: 'overloaded' };
-  return valueOf(metrics, 'requests_total', labels);
+  return sumMetric(metrics, 'requests_total', labels);
 }
 
 When(
@@ -75,15 +75,16 @@
   async function send(this: MetricsWorld) {
     const { platform } = this;
     const { metrics } = platform;
-    await eventually(() => valueOf(metrics, 'entries') === 1, 'the entry is registered');
-    for (let sent = 0; sent < crowd; sent += 1) sendOnly(platform, '/unsafe/x', `crowd-${sent}`);
+    await eventually(() => sumMetric(metrics, 'entries') === 1, 'the entry is registered');
+    for (let sent = 0; sent < concurrentRequests; sent += 1)
+      sendWithoutWaiting(platform, '/unsafe/x', `crowd-${sent}`);
     this.mostWaiting = 0;
     const isOver = (): boolean => {
-      const waits = valueOf(metrics, 'requests_waiting', { service: 'desk' });
-      assert.ok(waits <= valueOf(metrics, 'requests_running'), metrics.render());
+      const waits = sumMetric(metrics, 'requests_waiting', { service: 'desk' });
+      assert.ok(waits <= sumMetric(metrics, 'requests_running'), metrics.render());
       this.mostWaiting = Math.max(this.mostWaiting, waits);
-      const sent = valueOf(metrics, 'endpoint_connections_total');
-      return waits === 0 && refusedOf(platform) + sent === crowd;
+      const sent = sumMetric(metrics, 'endpoint_connections_total');
+      return waits === 0 && countRefused(platform) + sent === concurrentRequests;
     };
     await eventually(isOver, 'each request was sent or refused', 5_000);
   },
@@ -92,9 +93,9 @@
 Then(
   'the metrics showed some that wait, and all others are sent or refused',
   function waiting(this: MetricsWorld) {
-    const refused = refusedOf(this.platform);
+    const refused = countRefused(this.platform);
     assert.ok(this.mostWaiting > 0 && this.mostWaiting <= refused, `${this.mostWaiting} waited`);
-    assert.equal(valueOf(this.platform.metrics, 'requests_waiting'), 0);
+    assert.equal(sumMetric(this.platform.metrics, 'requests_waiting'), 0);
   },
 );
 
@@ -102,7 +103,7 @@
   'engines of a model with versions 1, 1 and 2 register and version 2 is named',
   function register(this: MetricsWorld) {
     const { store } = this.platform;
-    store.write('op/config', modelConfiguration(2));
+    store.write('op/config', createModelConfiguration(2));
     [1, 1, 2].forEach((version, index) =>
       store.write(`servers/m${index}`, {
         Service: 'model',
@@ -122,9 +123,9 @@
   'the metrics show for desk 1 draining and 2 free endpoints',
   function states(this: MetricsWorld) {
     const { metrics } = this.platform;
-    assert.equal(valueOf(metrics, 'endpoints', { service: 'desk', state: 'draining' }), 1);
-    assert.equal(valueOf(metrics, 'endpoints', { service: 'desk', state: 'free' }), 2);
-    assert.equal(valueOf(metrics, 'endpoints', { service: 'desk' }), 3);
+    assert.equal(sumMetric(metrics, 'endpoints', { service: 'desk', state: 'draining' }), 1);
+    assert.equal(sumMetric(metrics, 'endpoints', { service: 'desk', state: 'free' }), 2);
+    assert.equal(sumMetric(metrics, 'endpoints', { service: 'desk' }), 3);
   },
 );
 
@@ -133,8 +134,11 @@
   async function versions(this: MetricsWorld) {
     const { metrics } = this.platform;
     const of = (version: string): number =>
-      valueOf(metrics, 'endpoints_by_version', { service: 'model', version });
-    await eventually(() => valueOf(metrics, 'version_named', { model: 'm' }) === 2, 'it is named');
+      sumMetric(metrics, 'endpoints_by_version', { service: 'model', version });
+    await eventually(
+      () => sumMetric(metrics, 'version_named', { model: 'm' }) === 2,
+      'it is named',
+    );
     assert.deepEqual([of('1'), of('2')], [2, 1], metrics.render());
   },
 );
@@ -144,12 +148,12 @@
   async function fresh(this: MetricsWorld) {
     const { metrics } = this.platform;
     const answered = (call: string): number =>
-      valueOf(metrics, 'store_calls_total', { call, outcome: 'answered' });
+      sumMetric(metrics, 'store_calls_total', { call, outcome: 'answered' });
     const calls = ['list', 'watch', 'lease'];
     await eventually(() => calls.every((call) => answered(call) > 0), 'calls are answered');
     const all = calls.reduce((sum, call) => sum + answered(call), 0);
-    assert.equal(valueOf(metrics, 'store_calls_total'), all, metrics.render());
-    const ageMs = (): number => valueOf(metrics, 'configuration_proof_age_ms');
+    assert.equal(sumMetric(metrics, 'store_calls_total'), all, metrics.render());
+    const ageMs = (): number => sumMetric(metrics, 'configuration_proof_age_ms');
     await eventually(() => ageMs() < 1_500, 'the proof is fresh');
   },
 );
@@ -159,8 +163,8 @@
   function stale(this: MetricsWorld) {
     const { metrics } = this.platform;
     const failed = { call: 'watch', outcome: 'store_unavailable' };
-    assert.ok(valueOf(metrics, 'store_calls_total', failed) > 0, metrics.render());
-    assert.ok(valueOf(metrics, 'configuration_proof_age_ms') > 2_000, metrics.render());
+    assert.ok(sumMetric(metrics, 'store_calls_total', failed) > 0, metrics.render());
+    assert.ok(sumMetric(metrics, 'configuration_proof_age_ms') > 2_000, metrics.render());
   },
 );
 
@@ -168,8 +172,8 @@
   'the metrics show 1 repeat of an allowance that is larger',
   function budget(this: MetricsWorld) {
     const { metrics } = this.platform;
-    assert.equal(valueOf(metrics, 'retry_budget_used', { service: 'desk' }), 1);
-    assert.ok(valueOf(metrics, 'retry_budget_allowed', { service: 'desk' }) > 1);
+    assert.equal(sumMetric(metrics, 'retry_budget_used', { service: 'desk' }), 1);
+    assert.ok(sumMetric(metrics, 'retry_budget_allowed', { service: 'desk' }) > 1);
   },
 );
 
@@ -178,9 +182,9 @@
   async function weights(this: MetricsWorld, served: string, complete: string, named: string) {
     const states = ['served', 'complete', 'named'];
     const text = (): string =>
-      states.map((state) => valueOf(this.sidecarMetrics, 'weights_version', { state })).join();
+      states.map((state) => sumMetric(this.sidecarMetrics, 'weights_version', { state })).join();
     const wanted = [served, complete, named].join();
     await eventually(() => text() === wanted, `versions are ${wanted}`);
-    await eventually(() => valueOf(this.sidecarMetrics, 'engine_answering') === 1, 'it answers');
+    await eventually(() => sumMetric(this.sidecarMetrics, 'engine_answering') === 1, 'it answers');
   },
 );
--- a/features/steps/metricsText.steps.ts
+++ b/features/steps/metricsText.steps.ts
@@ -2,7 +2,7 @@
 import { Then, When } from '@cucumber/cucumber';
 import { HistogramMetrics, LoggerFactory } from '@laburnumstream/runtime';
 import { eventually } from '../support/assertions.js';
-import { parseMetrics, valueOf, valuesOf } from '../support/metricsText.js';
+import { parseMetrics, sumMetric, getMetricSamples } from '../support/metricsText.js';
 
 interface TextWorld {
   metrics: HistogramMetrics;
@@ -25,9 +25,9 @@
   'the metrics count 150 lines of the first kind left out and 150 written',
   function leftOut(this: TextWorld) {
     const first = { kind: 'line: Request placed.' };
-    assert.equal(valueOf(this.metrics, 'log_lines_left_out_total', first), 150);
-    assert.equal(valueOf(this.metrics, 'log_lines_left_out_total'), 150);
-    assert.equal(valueOf(this.metrics, 'log_lines_total', { level: 'info' }), 150);
+    assert.equal(sumMetric(this.metrics, 'log_lines_left_out_total', first), 150);
+    assert.equal(sumMetric(this.metrics, 'log_lines_left_out_total'), 150);
+    assert.equal(sumMetric(this.metrics, 'log_lines_total', { level: 'info' }), 150);
   },
 );
 
@@ -40,10 +40,10 @@
 });
 
 Then('at most 65 routes are told apart and no request is lost', function bounded(this: TextWorld) {
-  const series = valuesOf(this.metrics, 'requests_total');
+  const series = getMetricSamples(this.metrics, 'requests_total');
   assert.equal(series.length, 65);
-  assert.equal(valueOf(this.metrics, 'requests_total'), 100_000);
-  assert.equal(valueOf(this.metrics, 'requests_total', { route: 'other' }), 100_000 - 64);
+  assert.equal(sumMetric(this.metrics, 'requests_total'), 100_000);
+  assert.equal(sumMetric(this.metrics, 'requests_total', { route: 'other' }), 100_000 - 64);
 });
 
 const oddRoute = 'a "quoted" \\ route\nof two lines, {x="y"}';
@@ -67,13 +67,13 @@
       values.every(({ type }) => type !== undefined),
       this.metrics.render(),
     );
-    assert.equal(valueOf(this.metrics, 'requests_total', { route: oddRoute }), 1);
-    assert.equal(valueOf(this.metrics, 'entries'), 7);
-    assert.equal(valueOf(this.metrics, 'proof_age_ms'), Infinity);
-    assert.equal(valueOf(this.metrics, 'wait_ms_count', { route: oddRoute }), 3);
-    const sum = valueOf(this.metrics, 'wait_ms_sum', { route: oddRoute });
+    assert.equal(sumMetric(this.metrics, 'requests_total', { route: oddRoute }), 1);
+    assert.equal(sumMetric(this.metrics, 'entries'), 7);
+    assert.equal(sumMetric(this.metrics, 'proof_age_ms'), Infinity);
+    assert.equal(sumMetric(this.metrics, 'wait_ms_count', { route: oddRoute }), 3);
+    const sum = sumMetric(this.metrics, 'wait_ms_sum', { route: oddRoute });
     assert.ok(Math.abs(sum - 60) < 1, `${sum} ms`);
-    const median = valueOf(this.metrics, 'wait_ms', { route: oddRoute, quantile: '0.5' });
+    const median = sumMetric(this.metrics, 'wait_ms', { route: oddRoute, quantile: '0.5' });
     assert.ok(Math.abs(median - 20) < 0.5, `${median} ms`);
   },
 );
--- a/features/steps/misleadingEndpoints.steps.ts
+++ b/features/steps/misleadingEndpoints.steps.ts
@@ -2,21 +2,21 @@
 import { Then, When } from '@cucumber/cucumber';
 import { SeededRandom } from '@laburnumstream/common';
 import { AttemptSign, EndpointHealth } from '@laburnumstream/decisions';
-import { GrownFleet, anywhere, grownEndpoint, grownService } from '../support/grownFleet.js';
+import { LargeFleet, anyEndpoint, createEndpoint, testService } from '../support/grownFleet.js';
 
 interface MisleadingWorld {
   health: EndpointHealth;
   pauses: number[];
-  grown: GrownFleet;
+  grown: LargeFleet;
   /** Whether the endpoint might be used right after each start. */
   usable: boolean[];
 }
 
-const calmMs = 11_000;
+const recoveryMs = 11_000;
 const stepMs = 10;
 
 /** Time from `now` until an endpoint is tried again, in milliseconds. */
-function pauseOf(health: EndpointHealth, now: number): number {
+function measurePause(health: EndpointHealth, now: number): number {
   let at = now;
   while (!health.mayTry(0, at)) at += stepMs;
   return at - now;
@@ -55,12 +55,12 @@
 });
 
 /** Lets an endpoint fail some times in a row; returns how long it is left alone. */
-function fail(health: EndpointHealth, times: number, now: number): number {
+function recordFailures(health: EndpointHealth, times: number, now: number): number {
   for (let time = 0; time < times; time += 1) health.count(AttemptSign.failed, now);
-  return pauseOf(health, now);
+  return measurePause(health, now);
 }
 
-const wordTimes: Readonly<Record<string, number>> = { twice: 2, 'three times': 3 };
+const countsByWord: Readonly<Record<string, number>> = { twice: 2, 'three times': 3 };
 
 When(
   /^an endpoint fails (twice|three times) in a row and then answers, three times$/,
@@ -68,7 +68,7 @@
     this.health = new EndpointHealth();
     let now = 1_000;
     this.pauses = [1, 2, 3].map(() => {
-      const pause = fail(this.health, wordTimes[times]!, now);
+      const pause = recordFailures(this.health, countsByWord[times]!, now);
       now += pause;
       this.health.count(AttemptSign.answered, now);
       return pause;
@@ -84,34 +84,34 @@
 );
 
 Then('after 11 calm seconds for 500 ms again', function calm(this: MisleadingWorld) {
-  const now = 1_000 + 6_500 + calmMs;
-  assert.equal(fail(this.health, 3, now), 500);
+  const now = 1_000 + 6_500 + recoveryMs;
+  assert.equal(recordFailures(this.health, 3, now), 500);
 });
 
 /** Lets time pass. */
-function wait({ clock }: GrownFleet, ms: number): Promise<void> {
+function advance({ clock }: LargeFleet, ms: number): Promise<void> {
   return clock.runUntil(clock.now() + ms);
 }
 
 /** Registers an endpoint with another start; returns whether it may be used. */
-function restart({ state, directory }: GrownFleet, index: number, bornAt: number): boolean {
-  state.setEndpoint({ ...grownEndpoint(index), bornAt });
+function restart({ state, directory }: LargeFleet, index: number, bornAt: number): boolean {
+  state.setEndpoint({ ...createEndpoint(index), bornAt });
   directory.refresh();
   return isUsable(directory, index);
 }
 
-function isUsable(directory: GrownFleet['directory'], index: number): boolean {
-  const { id } = grownEndpoint(index);
-  return directory.available(grownService, anywhere).some((handle) => handle.id === id);
+function isUsable(directory: LargeFleet['directory'], index: number): boolean {
+  const { id } = createEndpoint(index);
+  return directory.available(testService, anyEndpoint).some((handle) => handle.id === id);
 }
 
 When(
   'an endpoint registers with a new start three times within 4 seconds',
   async function starts(this: MisleadingWorld) {
-    this.grown = new GrownFleet(7, 40);
+    this.grown = new LargeFleet(7, 40);
     this.usable = [];
     for (let start = 2; start <= 4; start += 1) {
-      await wait(this.grown, 1_200);
+      await advance(this.grown, 1_200);
       this.usable.push(restart(this.grown, 7, start));
     }
   },
@@ -123,9 +123,9 @@
     const { directory } = this.grown;
     assert.equal(this.usable[0], true);
     assert.equal(this.usable[2], false);
-    await wait(this.grown, 2_000);
+    await advance(this.grown, 2_000);
     assert.ok(!isUsable(directory, 7));
-    await wait(this.grown, 3_000);
+    await advance(this.grown, 3_000);
     assert.ok(isUsable(directory, 7));
   },
 );
@@ -133,13 +133,13 @@
 Then(
   'at once after a start that follows 11 calm seconds',
   async function calm(this: MisleadingWorld) {
-    await wait(this.grown, calmMs);
+    await advance(this.grown, recoveryMs);
     assert.ok(restart(this.grown, 7, 9));
   },
 );
 
 When('all of 40 endpoints register with a new start', function starts(this: MisleadingWorld) {
-  this.grown = new GrownFleet(7, 40);
+  this.grown = new LargeFleet(7, 40);
   this.usable = Array.from({ length: 40 }, (_, index) => restart(this.grown, index, 2));
 });
 
--- a/features/steps/outage.steps.ts
+++ b/features/steps/outage.steps.ts
@@ -9,7 +9,7 @@
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { Relay } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
-import { memberOf } from '../support/members.js';
+import { createMember } from '../support/members.js';
 
 const service = 'assistant';
 const secret = 'secret-of-the-outage-tests';
@@ -96,7 +96,7 @@
     this.outageRelay.set('cut');
     const clock = new SystemClock();
     this.outageDirectory = new MemberDirectory(clock, 'north-a', times, new SeededRandom(1));
-    this.outageMember = memberOf('agent-1', {
+    this.outageMember = createMember('agent-1', {
       service,
       address: `http://${this.outageRelay.address}`,
     });
@@ -130,7 +130,7 @@
   this.outageNow = 0;
   const clock = { now: () => this.outageNow, wall: () => 0, sleep: () => Promise.resolve() };
   this.outageDirectory = new MemberDirectory(clock, 'north-a', times, new SeededRandom(1));
-  this.outageDirectory.mergeRecord(memberOf('far', { service, dataCentre: 'south-a' }));
+  this.outageDirectory.mergeRecord(createMember('far', { service, dataCentre: 'south-a' }));
   this.outageDirectory.members.confirm('south-a', 0, 0);
 });
 
@@ -139,7 +139,7 @@
   function check(this: OutageWorld) {
     const names = (): string[] => {
       this.outageDirectory.recordHeartbeat(
-        memberOf('near', { service, beat: BigInt(this.outageNow + 1) }),
+        createMember('near', { service, beat: BigInt(this.outageNow + 1) }),
       );
       return this.outageDirectory.candidates(service, isOpen).map(({ name }) => name);
     };
--- a/features/steps/platformPath.steps.ts
+++ b/features/steps/platformPath.steps.ts
@@ -4,14 +4,14 @@
 import type { ForwardingEntry } from '@laburnumstream/forwarding';
 import { Behaviours } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
-import { ask, deadlineMs } from '../support/platformCaller.js';
-import type { Got } from '../support/platformCaller.js';
-import { PlatformFleet, configurationOf } from '../support/platformFleet.js';
+import { sendRequest, deadlineMs } from '../support/platformCaller.js';
+import type { CallerResponse } from '../support/platformCaller.js';
+import { PlatformFleet, createConfiguration } from '../support/platformFleet.js';
 
 interface PlatformWorld {
   platform: PlatformFleet;
   platformEntry: ForwardingEntry;
-  got: Got;
+  got: CallerResponse;
   readiness: number;
 }
 
@@ -22,7 +22,7 @@
     this.platform = await PlatformFleet.start(behaviours);
     this.platformEntry = await this.platform.startEntry();
     await eventually(() => {
-      const known = this.platform.lines.filter(
+      const known = this.platform.logEntries.filter(
         ({ message }) => message === 'fleet: Endpoint registered.',
       );
       return known.length === behaviours.length;
@@ -35,13 +35,13 @@
 });
 
 When(/^a caller sends a request to (\w+)$/, async function send(this: PlatformWorld, name: string) {
-  this.got = await ask(this.platform, `/${name}/x`);
+  this.got = await sendRequest(this.platform, `/${name}/x`);
 });
 
 Then(
   /^it gets (\d+) and (any|\d+) runs of it were begun$/,
   function outcome(this: PlatformWorld, status: string, runs: string) {
-    assert.equal(this.got.status, Number(status), JSON.stringify(this.platform.lines));
+    assert.equal(this.got.status, Number(status), JSON.stringify(this.platform.logEntries));
     const begun = this.platform.engines.flatMap(({ ran }) => ran);
     if (runs !== 'any') assert.equal(begun.length, Number(runs));
     if (status === '200') {
@@ -67,8 +67,8 @@
 Then(
   'a request with another key gets 401 and one to another path gets 404',
   async function unknown(this: PlatformWorld) {
-    assert.equal((await ask(this.platform, '/safe/x', 'other')).status, 401);
-    assert.equal((await ask(this.platform, '/other/x')).status, 404);
+    assert.equal((await sendRequest(this.platform, '/safe/x', 'other')).status, 401);
+    assert.equal((await sendRequest(this.platform, '/other/x')).status, 404);
   },
 );
 
@@ -80,21 +80,21 @@
 Then(
   'a request with a key gets 503 and none was begun',
   async function refused(this: PlatformWorld) {
-    assert.equal((await ask(this.platform, '/safe/x')).status, 503);
-    assert.equal((await ask(this.platform, '/safe/x', 'other')).status, 503);
+    assert.equal((await sendRequest(this.platform, '/safe/x')).status, 503);
+    assert.equal((await sendRequest(this.platform, '/safe/x', 'other')).status, 503);
     assert.deepEqual(this.platform.engines[0]!.ran, []);
   },
 );
 
 When('operators take the key away', function revoke(this: PlatformWorld) {
-  this.platform.store.write('op/config', configurationOf(4, ['key-2']));
+  this.platform.store.write('op/config', createConfiguration(4, ['key-2']));
 });
 
 Then('a request with a key gets 401 within 1 second', async function gone(this: PlatformWorld) {
   const isRefused = async (): Promise<boolean> =>
-    (await ask(this.platform, '/safe/x')).status === 401;
+    (await sendRequest(this.platform, '/safe/x')).status === 401;
   await eventually(isRefused, 'the key is refused', 1_000);
-  assert.equal((await ask(this.platform, '/safe/x', 'key-2')).status, 200);
+  assert.equal((await sendRequest(this.platform, '/safe/x', 'key-2')).status, 200);
 });
 
 Then('it gets events 1 to 12 once each', function events(this: PlatformWorld) {
@@ -109,7 +109,7 @@
 When(
   'a caller sends a request to safe and leaves after 200 ms',
   async function leave(this: PlatformWorld) {
-    await assert.rejects(ask(this.platform, '/safe/x', 'key-1', AbortSignal.timeout(200)));
+    await assert.rejects(sendRequest(this.platform, '/safe/x', 'key-1', AbortSignal.timeout(200)));
   },
 );
 
@@ -119,9 +119,9 @@
 });
 
 When('the first engine says that it is draining', async function drain(this: PlatformWorld) {
-  this.platform.register(this.platform.engines[0]!, 'draining');
+  this.platform.registerEngine(this.platform.engines[0]!, 'draining');
   await eventually(
-    () => this.platform.lines.some(({ fields }) => fields.isDraining === true),
+    () => this.platform.logEntries.some(({ fields }) => fields.isDraining === true),
     'the entry knows',
   );
 });
@@ -129,14 +129,14 @@
 Then(
   'only the second engine gets the next 20 requests',
   async function second(this: PlatformWorld) {
-    for (let sent = 0; sent < 20; sent += 1) await ask(this.platform, '/safe/x');
+    for (let sent = 0; sent < 20; sent += 1) await sendRequest(this.platform, '/safe/x');
     assert.deepEqual(this.platform.engines[0]!.ran, []);
     assert.equal(this.platform.engines[1]!.ran.length, 20);
   },
 );
 
 When('the entry is stopped while a stream runs', async function stop(this: PlatformWorld) {
-  const asked = ask(this.platform, '/stream/x');
+  const asked = sendRequest(this.platform, '/stream/x');
   await sleep(150);
   const stopped = this.platformEntry.stop();
   const { status } = await fetch(`http://${this.platform.settings.readiness}/`);
--- a/features/steps/platformPrograms.steps.ts
+++ b/features/steps/platformPrograms.steps.ts
@@ -11,7 +11,11 @@
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { PlatformStore } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
-import { PlatformFleet, configurationOf, modelConfiguration } from '../support/platformFleet.js';
+import {
+  PlatformFleet,
+  createConfiguration,
+  createModelConfiguration,
+} from '../support/platformFleet.js';
 
 interface ProgramsWorld {
   programStore: PlatformStore;
@@ -24,7 +28,7 @@
   heardVersions: number[];
 }
 
-const quiet = {
+const silentLog = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
@@ -32,7 +36,7 @@
 };
 const clock = new SystemClock();
 
-async function statusOf(url: string): Promise<number> {
+async function fetchStatus(url: string): Promise<number> {
   try {
     return (await fetch(url)).status;
   } catch {
@@ -51,7 +55,7 @@
   /^a settings file of an entry(?: without the line (\S+))?$/,
   async function settings(this: ProgramsWorld, missing: string | null) {
     this.programStore = await PlatformStore.start();
-    this.programStore.write('op/config', configurationOf(1, ['key-1']));
+    this.programStore.write('op/config', createConfiguration(1, ['key-1']));
     this.programLines = await entrySettings(this.programStore.address);
     if (missing) delete this.programLines[missing];
     this.program = new PlatformProgram();
@@ -77,7 +81,7 @@
   'it gets SIGHUP with a settings file that is broken',
   async function reload(this: ProgramsWorld) {
     const ready = `http://${this.programLines['Listen.Ready']}/`;
-    await eventually(async () => (await statusOf(ready)) === 200, 'the entry is ready');
+    await eventually(async () => (await fetchStatus(ready)) === 200, 'the entry is ready');
     this.program.write({ ...this.programLines, HeartbeatMs: 'often' });
     this.program.signal('SIGHUP');
     await sleep(300);
@@ -85,7 +89,7 @@
 );
 
 Then('it still says that it is ready', async function ready(this: ProgramsWorld) {
-  assert.equal(await statusOf(`http://${this.programLines['Listen.Ready']}/`), 200);
+  assert.equal(await fetchStatus(`http://${this.programLines['Listen.Ready']}/`), 200);
 });
 
 Then('its metrics are served', async function metrics(this: ProgramsWorld) {
@@ -104,10 +108,10 @@
 );
 
 /** Starts a feed of the world's store. */
-function startFeed(world: ProgramsWorld): void {
+function startWatcher(world: ProgramsWorld): void {
   Object.assign(world, { feedAbort: new AbortController() });
   const metrics = new HistogramMetrics();
-  Object.assign(world, { feedState: new FleetState(metrics, quiet, () => undefined) });
+  Object.assign(world, { feedState: new FleetState(metrics, silentLog, () => undefined) });
   const feed = new FleetWatcher(
     new StoreClient(world.programStore.address),
     storeCodec,
@@ -116,7 +120,7 @@
     new SleepAwareClock(clock),
     clock,
     metrics,
-    quiet,
+    silentLog,
     8_000,
   );
   void feed.run(world.feedAbort.signal);
@@ -128,7 +132,7 @@
     this.programStore = await PlatformStore.start();
     this.programStore.write('op/version/m', { Model: 'm', Version: 2 });
     this.programStore.refusal = 503;
-    startFeed(this);
+    startWatcher(this);
     await sleep(500);
     this.programStore.refusal = undefined;
     this.returnedAt = clock.now();
@@ -149,7 +153,7 @@
   async function feed(this: ProgramsWorld) {
     this.programStore = await PlatformStore.start();
     this.programStore.write('op/version/m', { Model: 'm', Version: 1 });
-    startFeed(this);
+    startWatcher(this);
     await eventually(() => this.feedState.namedVersions('m')?.newest === 1, 'version 1 is known');
     this.programStore.refusal = 503;
     await sleep(1_200);
@@ -178,7 +182,7 @@
       ['b', 's'],
     ]),
   });
-  store.write('op/config', modelConfiguration(1));
+  store.write('op/config', createModelConfiguration(1));
   store.write('op/version/m', { Model: 'm', Version: 1 });
   store.write('servers/far', {
     Service: 'model',
@@ -196,12 +200,12 @@
     { fleet: ({ weights }) => weights && this.heardVersions.push(weights.version) },
     clock,
     new HistogramMetrics(),
-    quiet,
+    silentLog,
   );
   await agent.bind('127.0.0.3', settings.firstPort, this.feedAbort.signal);
   await this.platform.startEntry();
   await eventually(
-    () => this.platform.lines.some(({ message }) => message === 'registration: Registered.'),
+    () => this.platform.logEntries.some(({ message }) => message === 'registration: Registered.'),
     'the entry is registered',
   );
 });
@@ -219,7 +223,7 @@
   async function dropped(this: ProgramsWorld) {
     this.feedAbort = new AbortController();
     const metrics = new HistogramMetrics();
-    const datagrams = new FleetDatagrams('front-1', {}, clock, metrics, quiet);
+    const datagrams = new FleetDatagrams('front-1', {}, clock, metrics, silentLog);
     await datagrams.bind('127.0.0.1', 0, this.feedAbort.signal);
     this.feedAbort.abort();
     const content = { case: 'fleet', value: { reportEveryMs: 300 } } as const;
--- a/features/steps/poison.steps.ts
+++ b/features/steps/poison.steps.ts
@@ -15,7 +15,7 @@
   services: [{ name: 'assistant', kind: 'engine', endpoints: [2, 2] }],
   originRegion: 'north',
 };
-const keepMs = 60_000;
+const retentionMs = 60_000;
 
 interface PoisonWorld {
   poisonFleet: Fleet;
@@ -37,7 +37,7 @@
   await this.poisonFleet?.close();
 });
 
-function crashes({ poisonFleet }: PoisonWorld): number {
+function countCrashes({ poisonFleet }: PoisonWorld): number {
   return poisonFleet.agents.reduce((sum, { engine }) => sum + (engine?.crashes ?? 0), 0);
 }
 
@@ -64,7 +64,7 @@
     assert.equal(seen!.status, status);
     assert.equal(seen!.error?.type, 'crashing_request');
     assert.equal(seen!.error?.execution, 'unknown');
-    assert.ok(crashes(this) <= most, `${crashes(this)}`);
+    assert.ok(countCrashes(this) <= most, `${countCrashes(this)}`);
     const whole = this.neighbours.filter(({ ended, tokens }) => ended && tokens.length === 60);
     assert.equal(whole.length, this.neighbours.length, JSON.stringify(this.neighbours));
   },
@@ -82,11 +82,11 @@
   function check(this: PoisonWorld, status: number) {
     assert.ok(this.poisonSeen.every((seen) => seen.status === status));
     assert.ok(this.poisonSeen.slice(1).every(({ error }) => error?.execution === 'not run'));
-    assert.ok(crashes(this) <= 2, `${crashes(this)}`);
+    assert.ok(countCrashes(this) <= 2, `${countCrashes(this)}`);
   },
 );
 
-async function listed(
+async function fetchConvictions(
   { poisonFleet }: PoisonWorld,
   entry: number,
 ): Promise<{ fingerprint: string }[]> {
@@ -99,8 +99,11 @@
   'an operator lifts the conviction of a request that crashes engines',
   async function lift(this: PoisonWorld) {
     await sendCrashing(this);
-    await eventually(async () => (await listed(this, 1)).length === 1, 'the other entry lists it');
-    const [conviction] = await listed(this, 0);
+    await eventually(
+      async () => (await fetchConvictions(this, 1)).length === 1,
+      'the other entry lists it',
+    );
+    const [conviction] = await fetchConvictions(this, 0);
     const path = `convictions/${conviction!.fingerprint}`;
     const answer = await this.poisonFleet.admin('DELETE', path, { reason: 'engine was mended' });
     assert.equal(answer.status, 200);
@@ -109,33 +112,34 @@
 
 Then('no entry lists the conviction soon after', async function check(this: PoisonWorld) {
   const gone = async () =>
-    (await listed(this, 0)).length === 0 && (await listed(this, 1)).length === 0;
+    (await fetchConvictions(this, 0)).length === 0 &&
+    (await fetchConvictions(this, 1)).length === 0;
   await eventually(gone, 'the conviction is gone');
 });
 
-const innocents = ['a', 'b', 'c'].map((fingerprint) => ({
+const innocentRequests = ['a', 'b', 'c'].map((fingerprint) => ({
   fingerprint,
   workspace: 'w',
   service: 's',
 }));
-const guilty = { fingerprint: 'guilty', workspace: 'w', service: 's' };
+const crashingRequest = { fingerprint: 'guilty', workspace: 'w', service: 's' };
 
 /** Deaths beside each other, then the guilty one alone, with verdicts exchanged at random. */
 function verdictHistory(seed: number): { fair: VerdictBook[]; hasty: VerdictBook } {
   const random = new SeededRandom(seed);
-  const fair = [new VerdictBook(keepMs), new VerdictBook(keepMs)];
-  const hasty = new VerdictBook(keepMs);
+  const fair = [new VerdictBook(retentionMs), new VerdictBook(retentionMs)];
+  const hasty = new VerdictBook(retentionMs);
   const pick = () => fair[Math.floor(random.next() * fair.length)]!;
   const exchange = (from: VerdictBook, to: VerdictBook, now: number) => {
     if (random.next() < 0.7) to.merge(from.share(now), now);
   };
   for (let now = 1; now < 20; now += 1) {
-    const beside = innocents[Math.floor(random.next() * innocents.length)]!;
+    const beside = innocentRequests[Math.floor(random.next() * innocentRequests.length)]!;
     pick().lost(beside, Loss.endpoint, false, now);
     hasty.lost(beside, Loss.endpoint, true, now);
     const judge = pick();
-    const alone = judge.stateOf(guilty.fingerprint, now) === VerdictState.suspect;
-    judge.lost(guilty, Loss.endpoint, alone, now);
+    const alone = judge.stateOf(crashingRequest.fingerprint, now) === VerdictState.suspect;
+    judge.lost(crashingRequest, Loss.endpoint, alone, now);
     exchange(fair[0]!, fair[1]!, now);
     exchange(fair[1]!, fair[0]!, now);
   }
@@ -155,9 +159,9 @@
   'both books agree and no request that only ran beside others is convicted',
   function check(this: PoisonWorld) {
     this.poisonBooks.forEach(({ fair }) => {
-      const states = fair.map((book) => book.stateOf(guilty.fingerprint, 20));
+      const states = fair.map((book) => book.stateOf(crashingRequest.fingerprint, 20));
       assert.deepEqual(states, [VerdictState.convicted, VerdictState.convicted]);
-      innocents.forEach(({ fingerprint }) =>
+      innocentRequests.forEach(({ fingerprint }) =>
         fair.forEach((book) =>
           assert.notEqual(book.stateOf(fingerprint, 20), VerdictState.convicted),
         ),
@@ -168,7 +172,9 @@
 
 Then('a book that convicts on deaths beside others is caught', function check(this: PoisonWorld) {
   const convicted = this.poisonBooks.some(({ hasty }) =>
-    innocents.some(({ fingerprint }) => hasty.stateOf(fingerprint, 20) === VerdictState.convicted),
+    innocentRequests.some(
+      ({ fingerprint }) => hasty.stateOf(fingerprint, 20) === VerdictState.convicted,
+    ),
   );
   assert.ok(convicted);
 });
--- a/features/steps/processLogs.steps.ts
+++ b/features/steps/processLogs.steps.ts
@@ -12,7 +12,7 @@
 import type { CallerResult } from '../support/callers.js';
 import { runCommand } from '../support/commandLine.js';
 import { parseMetrics } from '../support/metricsText.js';
-import type { MetricValue } from '../support/metricsText.js';
+import type { MetricSample } from '../support/metricsText.js';
 import { PlatformFleet } from '../support/platformFleet.js';
 
 /** An entry program and its callers. */
@@ -33,15 +33,19 @@
 const linesPerSecond = 100;
 const secondMs = 1_000;
 /** Least time for which the programs' proof of keys lasts, in milliseconds. */
-const proofMs = 4_600;
+const minProofMs = 4_600;
 
-async function metricsOf({ program }: RunningProgram): Promise<MetricValue[]> {
+async function fetchMetrics({ program }: RunningProgram): Promise<MetricSample[]> {
   const answer = await fetch(`http://127.0.0.1:${program.metricsPort}/metrics`);
   return parseMetrics(await answer.text());
 }
 
-async function sumOf(running: RunningProgram, name: string, kind?: string): Promise<number> {
-  const values = await metricsOf(running);
+async function fetchMetricSum(
+  running: RunningProgram,
+  name: string,
+  kind?: string,
+): Promise<number> {
+  const values = await fetchMetrics(running);
   return values
     .filter((value) => value.name === name && (!kind || value.labels.kind === kind))
     .reduce((sum, { value }) => sum + value, 0);
@@ -49,7 +53,7 @@
 
 async function isReady(running: RunningProgram): Promise<boolean> {
   try {
-    const values = await metricsOf(running);
+    const values = await fetchMetrics(running);
     const has = (name: string): boolean =>
       values.some((value) => value.name === name && value.value > 0);
     return has('endpoints') && has('entries');
@@ -75,7 +79,7 @@
   return running;
 }
 
-function linesOf({ log }: RunningProgram): LogLine[] {
+function readLogLines({ log }: RunningProgram): LogLine[] {
   return readFileSync(log, 'utf8')
     .split('\n')
     .flatMap((text) => parseLogLine(text) ?? []);
@@ -103,15 +107,15 @@
   const [running] = this.logPrograms;
   for (let sent = 0; sent < 120; sent += 1) void running!.callers.send('/unsafe/x', `c${sent}`);
   const refused = (): boolean =>
-    linesOf(running!).some(({ message }) => message === 'line: Request refused.');
+    readLogLines(running!).some(({ message }) => message === 'line: Request refused.');
   await eventually(refused, 'some are refused', 2_000);
 });
 
 When('the store is silent until proofs are old', async function silence(this: ProcessLogsWorld) {
   this.logFleet.store.isSilent = true;
   const [running] = this.logPrograms;
-  const age = (): Promise<number> => sumOf(running!, 'configuration_proof_age_ms');
-  await eventually(async () => (await age()) > proofMs, 'the proof is old');
+  const age = (): Promise<number> => fetchMetricSum(running!, 'configuration_proof_age_ms');
+  await eventually(async () => (await age()) > minProofMs, 'the proof is old');
 });
 
 When(
@@ -147,7 +151,7 @@
 Then(
   'its log has at most 100 lines of each kind a second, but for refusals',
   function bounded(this: ProcessLogsWorld) {
-    const lines = linesOf(this.logPrograms[0]!).filter(
+    const lines = readLogLines(this.logPrograms[0]!).filter(
       ({ isRepeatable }) => isRepeatable !== false,
     );
     const timesByKind = new Map<string, number[]>();
@@ -170,17 +174,17 @@
   async function complete(this: ProcessLogsWorld) {
     const [running] = this.logPrograms;
     const kind = 'requests: Request answered.';
-    const written = linesOf(running!).filter(({ message }) => message === kind).length;
-    const leftOut = await sumOf(running!, 'log_lines_left_out_total', kind);
+    const written = readLogLines(running!).filter(({ message }) => message === kind).length;
+    const leftOut = await fetchMetricSum(running!, 'log_lines_left_out_total', kind);
     const answered = this.results.filter(({ status }) => status === 200).length;
     assert.ok(leftOut > 0, `${answered} answered, none left out`);
     assert.equal(written + leftOut, answered);
-    assert.equal(await sumOf(running!, 'log_lines_lost_total'), 0);
+    assert.equal(await fetchMetricSum(running!, 'log_lines_lost_total'), 0);
   },
 );
 
 Then('each failed request has all of its lines', function failures(this: ProcessLogsWorld) {
-  const lines = linesOf(this.logPrograms[0]!);
+  const lines = readLogLines(this.logPrograms[0]!);
   const idsOf = (all: readonly LogLine[]): string[] => all.map(({ id }) => String(id)).sort();
   const failed = lines.filter(({ message }) => message === 'callers: Request failed.');
   const refused = lines.filter(({ message }) => message === 'line: Request refused.');
@@ -213,7 +217,7 @@
     const strangers = this.logPrograms.map(({ callers }) => new Callers(callers.address, 'other'));
     const isFull = async (): Promise<boolean> => {
       await Promise.all(strangers.map((callers) => callers.flood(path, 100, 1_000)));
-      return (await sumOf(this.logPrograms[1]!, 'log_lines_lost_total')) > 0;
+      return (await fetchMetricSum(this.logPrograms[1]!, 'log_lines_lost_total')) > 0;
     };
     await eventually(isFull, 'lines are lost', 30_000);
     strangers.forEach((callers) => callers.close());
--- a/features/steps/proof.steps.ts
+++ b/features/steps/proof.steps.ts
@@ -4,7 +4,7 @@
 import { Then, When } from '@cucumber/cucumber';
 import { benchNames, isApplicable, mutations } from '@laburnumstream/bench';
 import type { Mutation } from '@laburnumstream/bench';
-import { proofRows, proofStates } from '../support/proofTable.js';
+import { parseProofRows, proofStates } from '../support/proofTable.js';
 import type { ProofRow } from '../support/proofTable.js';
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
@@ -41,7 +41,7 @@
 }
 
 When('docs\\/PROOF.md is read', function read(this: ProofWorld) {
-  this.proofRows = proofRows(readFileSync(`${root}docs/PROOF.md`, 'utf8'));
+  this.proofRows = parseProofRows(readFileSync(`${root}docs/PROOF.md`, 'utf8'));
   assert.ok(this.proofRows.length > 0);
 });
 
--- a/features/steps/restart.steps.ts
+++ b/features/steps/restart.steps.ts
@@ -25,7 +25,7 @@
   readonly leaving: boolean;
 }
 
-async function statusOf(fleet: Fleet, name: string): Promise<(MemberStatus | undefined)[]> {
+async function fetchStatus(fleet: Fleet, name: string): Promise<(MemberStatus | undefined)[]> {
   return Promise.all(
     fleet.entries.map(async (entry) => {
       const { body } = await fleet.admin('GET', 'status', undefined, entry);
@@ -56,7 +56,7 @@
     const { name, process } = this.restartAgent;
     let told = false;
     const isTold = async (): Promise<boolean> => {
-      const states = await statusOf(this.restartFleet, name);
+      const states = await fetchStatus(this.restartFleet, name);
       told ||= process.isRunning && states.every((member) => member?.leaving);
       return told || !process.isRunning;
     };
@@ -78,7 +78,7 @@
       assert.equal(seen.ended, true, JSON.stringify(seen.error));
     }
     const isGone = async (): Promise<boolean> => {
-      const states = await statusOf(this.restartFleet, this.restartAgent.name);
+      const states = await fetchStatus(this.restartFleet, this.restartAgent.name);
       return states.every((member) => member === undefined);
     };
     await eventually(isGone, 'no entry knows the agent any more');
--- a/features/steps/rollOutSafety.steps.ts
+++ b/features/steps/rollOutSafety.steps.ts
@@ -23,7 +23,7 @@
   await this.rollOutFleet?.close();
 });
 
-async function metricsOf({ weights }: FleetAgent): Promise<string> {
+async function fetchMetrics({ weights }: FleetAgent): Promise<string> {
   return (await fetch(`${weights}/metrics`)).text();
 }
 
@@ -47,7 +47,7 @@
   'all engines of the roll-out serve v2 and refused chunks are counted',
   async function check(this: RollOutSafetyWorld) {
     await awaitAll(this);
-    const metrics = await Promise.all(this.rollOutAgents.map(metricsOf));
+    const metrics = await Promise.all(this.rollOutAgents.map(fetchMetrics));
     assert.ok(metrics.some((text) => text.includes('weight_chunks_corrupt')));
   },
 );
--- a/features/steps/routing.steps.ts
+++ b/features/steps/routing.steps.ts
@@ -6,36 +6,36 @@
 
 const seed = 11;
 const limit = 10;
-const place = { dataCentre: 'a', region: 'x' };
-const places = [place, { dataCentre: 'b', region: 'x' }, { dataCentre: 'c', region: 'y' }];
+const location = { dataCentre: 'a', region: 'x' };
+const locations = [location, { dataCentre: 'b', region: 'x' }, { dataCentre: 'c', region: 'y' }];
 
-function member(name: string, where = place): TableMember {
+function createMember(name: string, where = location): TableMember {
   return { target: Object.assign(makeTarget(name), { limit }), ...where };
 }
 
-function membersOf(count: number): TableMember[] {
-  return Array.from({ length: count }, (_, index) => member(`engine-${index}`));
+function createMembers(count: number): TableMember[] {
+  return Array.from({ length: count }, (_, index) => createMember(`engine-${index}`));
 }
 
-function fill(target: Target): void {
+function fillToLimit(target: Target): void {
   Object.assign(target, { reported: limit });
 }
 
 Then('an entry uses its data centre, then its region, then others, as they fill up', () => {
-  const members = places.map((where) => member(`engine-${where.dataCentre}`, where));
-  const table = new RoutingTable('entry', place, members);
+  const members = locations.map((where) => createMember(`engine-${where.dataCentre}`, where));
+  const table = new RoutingTable('entry', location, members);
   const random = new SeededRandom(seed);
   members.forEach(({ target }) => {
     assert.equal(table.choose(0, random), target);
     assert.equal(table.choose(hash32('prefix'), random), target);
-    fill(target);
+    fillToLimit(target);
   });
 });
 
 Then('an entry with full endpoints everywhere asks one of its own data centre', () => {
-  const members = places.map((where) => member(`engine-${where.dataCentre}`, where));
-  members.forEach(({ target }) => fill(target));
-  const table = new RoutingTable('entry', place, members);
+  const members = locations.map((where) => createMember(`engine-${where.dataCentre}`, where));
+  members.forEach(({ target }) => fillToLimit(target));
+  const table = new RoutingTable('entry', location, members);
   assert.equal(table.choose(0, new SeededRandom(seed))?.name, 'engine-a');
 });
 
@@ -45,9 +45,9 @@
     const endpoints = 30;
     const roomy = 1_000;
     const tables = Array.from({ length: entries }, (_, index) => {
-      const members = membersOf(endpoints);
+      const members = createMembers(endpoints);
       members.forEach(({ target }) => Object.assign(target, { limit: roomy }));
-      return { members, table: new RoutingTable(`entry-${index}`, place, members) };
+      return { members, table: new RoutingTable(`entry-${index}`, location, members) };
     });
     const random = new SeededRandom(seed);
     const units = new Array<number>(endpoints).fill(0);
@@ -72,19 +72,19 @@
 Then('requests with one prefix meet at one endpoint from all entries', () => {
   const random = new SeededRandom(seed);
   const homes = Array.from({ length: 20 }, (_, index) => {
-    const members = membersOf(20).sort(() => random.next() - 0.5);
-    const table = new RoutingTable(`entry-${index}`, place, members);
+    const members = createMembers(20).sort(() => random.next() - 0.5);
+    const table = new RoutingTable(`entry-${index}`, location, members);
     return table.choose(hash32('prefix'), random)?.name;
   });
   assert.equal(new Set(homes).size, 1);
-  const table = new RoutingTable('entry', place, membersOf(20));
+  const table = new RoutingTable('entry', location, createMembers(20));
   const all = Array.from({ length: 500 }, (_, index) => table.choose(hash32(`p${index}`), random));
   assert.equal(new Set(all).size, 20);
 });
 
 Then('a hot prefix leaves its home before the home is full', () => {
-  const members = membersOf(8);
-  const table = new RoutingTable('entry', place, members);
+  const members = createMembers(8);
+  const table = new RoutingTable('entry', location, members);
   const random = new SeededRandom(seed);
   for (let index = 0; index < 40; index += 1) table.choose(hash32('hot'), random)!.own += 1;
   const loads = members.map(({ target }) => loadOf(target));
@@ -95,7 +95,7 @@
 Then(
   'an entry keeps {int} of {int} endpoints and a lost endpoint changes at most one of them',
   (size: number, count: number) => {
-    const targets = membersOf(count).map(({ target }) => target);
+    const targets = createMembers(count).map(({ target }) => target);
     const subset = subsetOf('entry-1', targets, subsetSize);
     assert.equal(subset.length, size);
     assert.deepEqual(subset, subsetOf('entry-1', [...targets].reverse(), subsetSize));
@@ -109,8 +109,8 @@
 );
 
 Then('a retry never chooses an endpoint that was tried', () => {
-  const members = membersOf(5);
-  const table = new RoutingTable('entry', place, members);
+  const members = createMembers(5);
+  const table = new RoutingTable('entry', location, members);
   const random = new SeededRandom(seed);
   const tried = new Set<string>();
   for (let attempt = 0; attempt < 5; attempt += 1) {
--- a/features/steps/settings.steps.ts
+++ b/features/steps/settings.steps.ts
@@ -3,7 +3,7 @@
 import { InvalidSettings } from '@laburnumstream/common';
 import { parseSettings, roleOf } from '@laburnumstream/runtime';
 import fc from 'fast-check';
-import { anyJson, damagedJson, inputs } from '../support/fuzzInputs.js';
+import { anyJson, damagedJson, sampleInputs } from '../support/fuzzInputs.js';
 
 const file = 'entry.jsonc';
 const valid = [
@@ -25,13 +25,13 @@
   '"listen": {"callers": "127.0.0.1:4", "operators": "127.0.0.1:5", "internal": "127.0.0.1:6"},',
   '}',
 ];
-const faultForm = /^entry\.jsonc:\d+: /;
+const faultPattern = /^entry\.jsonc:\d+: /;
 
 interface SettingsWorld {
   settingsFaults: (string | undefined)[];
 }
 
-function faultOf(text: string): string | undefined {
+function parseFault(text: string): string | undefined {
   try {
     parseSettings(roleOf(file, text), file, text);
     return undefined;
@@ -44,9 +44,9 @@
 When(
   /^the settings line (\d+) is (.+)$/,
   function replace(this: SettingsWorld, line: string, text: string) {
-    assert.equal(faultOf(valid.join('\n')), undefined);
+    assert.equal(parseFault(valid.join('\n')), undefined);
     const changed = valid.map((each, index) => (index + 1 === Number(line) ? text : each));
-    this.settingsFaults = [faultOf(changed.join('\n'))];
+    this.settingsFaults = [parseFault(changed.join('\n'))];
   },
 );
 
@@ -69,13 +69,15 @@
   const changed = fc
     .tuple(fc.constantFrom(...Object.keys(whole), 'unknown'), anyJson)
     .map(([key, value]) => ({ ...whole, [key]: value }));
-  this.settingsFaults = inputs(damagedJson(fc.oneof(changed, anyJson)), count).map(faultOf);
+  this.settingsFaults = sampleInputs(damagedJson(fc.oneof(changed, anyJson)), count).map(
+    parseFault,
+  );
 });
 
 Then('each is valid or refused with file and line', function check(this: SettingsWorld) {
   const refused = this.settingsFaults.filter((fault) => fault !== undefined);
   assert.ok(refused.length > 0 && refused.length < this.settingsFaults.length);
   refused.forEach((fault) => {
-    fault.split('\n').forEach((line) => assert.match(line, faultForm));
+    fault.split('\n').forEach((line) => assert.match(line, faultPattern));
   });
 });
--- a/features/steps/sharedBounds.steps.ts
+++ b/features/steps/sharedBounds.steps.ts
@@ -5,17 +5,17 @@
 import fc from 'fast-check';
 import { EntryFleet } from '../support/entryFleet.js';
 import type { EntryFault } from '../support/entryFleet.js';
-import { runFeedHistory } from '../support/feedHistory.js';
-import type { FeedFault, FeedHistory, FeedSights } from '../support/feedHistory.js';
+import { runWatchHistory } from '../support/feedHistory.js';
+import type { WatchFault, WatchHistory, WatchObservations } from '../support/feedHistory.js';
 import { platformBounds } from '../support/platformBounds.js';
 
 const propertySeed = 11;
 const historyMs = 40_000;
 const stepMs = 20;
-const mostEntries = 10;
+const maxEntries = 10;
 /** Requests a second that an engine bears while it is cold, and what all entries may send it. */
 const coldPerSecond = 36;
-const mostColdSends = coldPerSecond * platformBounds.coldFactor + platformBounds.coldSlack;
+const maxColdSends = coldPerSecond * platformBounds.coldFactor + platformBounds.coldSlack;
 
 interface SharedHistory {
   readonly seed: number;
@@ -25,27 +25,27 @@
   readonly bursts: readonly { readonly atMs: number; readonly each: number }[];
 }
 
-const moment = fc.integer({ min: 0, max: historyMs - 5_000 });
+const timeMs = fc.integer({ min: 0, max: historyMs - 5_000 });
 
 const faults: fc.Arbitrary<EntryFault> = fc.record({
   kind: fc.constantFrom('kill', 'cut'),
-  atMs: moment,
-  entry: fc.option(fc.nat({ max: mostEntries - 1 }), { nil: undefined }),
+  atMs: timeMs,
+  entry: fc.option(fc.nat({ max: maxEntries - 1 }), { nil: undefined }),
   forMs: fc.integer({ min: 100, max: 20_000 }),
 });
 
 const histories: fc.Arbitrary<SharedHistory> = fc.record({
   seed: fc.nat(),
-  entries: fc.integer({ min: 1, max: mostEntries }),
+  entries: fc.integer({ min: 1, max: maxEntries }),
   faults: fc.array(faults, { maxLength: 10 }),
-  bursts: fc.array(fc.record({ atMs: moment, each: fc.integer({ min: 1, max: 200 }) }), {
+  bursts: fc.array(fc.record({ atMs: timeMs, each: fc.integer({ min: 1, max: 200 }) }), {
     minLength: 1,
     maxLength: 8,
   }),
 });
 
 /** Most of the times, which ascend, that lie in one window. */
-function mostIn(times: readonly number[], windowMs: number): number {
+function maxInWindow(times: readonly number[], windowMs: number): number {
   let first = 0;
   let most = 0;
   times.forEach((time, index) => {
@@ -56,7 +56,7 @@
 }
 
 /** Largest number of repeats beyond what requests earn, over all windows that end with a repeat. */
-function mostUnearned(repeats: readonly number[], requests: readonly number[]): number {
+function maxRetriesOverBudget(repeats: readonly number[], requests: readonly number[]): number {
   const { retryRatio, retryWindowMs } = platformBounds;
   const countIn = (times: readonly number[], until: number): number =>
     times.filter((at) => at <= until && at > until - retryWindowMs).length;
@@ -67,7 +67,12 @@
   );
 }
 
-function unearnedRepeatsOf({ seed, entries, faults: struck, bursts }: SharedHistory): number {
+function simulateRetriesOverBudget({
+  seed,
+  entries,
+  faults: struck,
+  bursts,
+}: SharedHistory): number {
   const { retryRatio, retrySlack, retryWindowMs } = platformBounds;
   const bound = { ratio: retryRatio, slack: retrySlack, windowMs: retryWindowMs };
   const times = { now: 0 };
@@ -86,7 +91,7 @@
     const each = bursts
       .filter(({ atMs }) => atMs <= now && atMs > now - stepMs)
       .reduce((sum, burst) => sum + burst.each, 0);
-    fleet.members.forEach((budget) => {
+    fleet.states.forEach((budget) => {
       for (let index = 0; index < each; index += 1) {
         budget.earn('model', now);
         requests.push(now);
@@ -94,10 +99,10 @@
       }
     });
   }
-  return mostUnearned(repeats, requests);
+  return maxRetriesOverBudget(repeats, requests);
 }
 
-function coldSendsOf({ seed, entries, faults: struck, bursts }: SharedHistory): number {
+function simulateColdSends({ seed, entries, faults: struck, bursts }: SharedHistory): number {
   const random = new SeededRandom(seed);
   const fleet = new EntryFleet(
     entries,
@@ -111,7 +116,7 @@
     fleet.step(now, stepMs);
     // Requests press for 3 seconds from each burst on.
     const isPressed = bursts.some(({ atMs }) => atMs <= now && atMs > now - 3_000);
-    fleet.members.forEach(({ count, rate }) => {
+    fleet.states.forEach(({ count, rate }) => {
       const share = coldPerSecond / count.at(now);
       while (isPressed && rate.fits(share, now)) {
         rate.take(share, now);
@@ -119,14 +124,14 @@
       }
     });
   }
-  return mostIn(sends, 1_000);
+  return maxInWindow(sends, 1_000);
 }
 
 Then(
   'in {int} histories all entries together repeat within the bound in any window',
   (numRuns: number) => {
     const property = fc.property(histories, (history) => {
-      const unearned = unearnedRepeatsOf(history);
+      const unearned = simulateRetriesOverBudget(history);
       assert.ok(unearned <= platformBounds.retrySlack, `${unearned} beyond what requests earn`);
     });
     fc.assert(property, { seed: propertySeed, numRuns });
@@ -137,49 +142,49 @@
   'in {int} histories all entries together send a cold engine what it bears in any second',
   (numRuns: number) => {
     const property = fc.property(histories, (history) => {
-      const most = coldSendsOf(history);
-      assert.ok(most <= mostColdSends, `${most} in a second`);
+      const most = simulateColdSends(history);
+      assert.ok(most <= maxColdSends, `${most} in a second`);
     });
     fc.assert(property, { seed: propertySeed, numRuns });
   },
 );
 
-const feedHistoryMs = 15_000;
+const watchHistoryMs = 15_000;
 
-const feedFaults: fc.Arbitrary<FeedFault> = fc.record({
+const watchFaults: fc.Arbitrary<WatchFault> = fc.record({
   kind: fc.constantFrom(
     'slowCalls',
     'slowPages',
-    'slowAnswers',
+    'slowResponses',
     'refused',
     'silent',
     'historyLost',
     'sleep',
   ),
-  atMs: fc.integer({ min: 0, max: feedHistoryMs }),
+  atMs: fc.integer({ min: 0, max: watchHistoryMs }),
   forMs: fc.integer({ min: 10, max: 5_000 }),
   delayMs: fc.integer({ min: 2, max: 1_200 }),
 });
 
-const feedHistories: fc.Arbitrary<FeedHistory> = fc.record({
-  changes: fc.array(fc.integer({ min: 100, max: feedHistoryMs }), { maxLength: 12 }),
-  faults: fc.array(feedFaults, { maxLength: 8 }),
+const watchHistories: fc.Arbitrary<WatchHistory> = fc.record({
+  changes: fc.array(fc.integer({ min: 100, max: watchHistoryMs }), { maxLength: 12 }),
+  faults: fc.array(watchFaults, { maxLength: 8 }),
 });
 
 /** Time at which the key was removed that is gone at `at`; undefined while it is there. */
-function removedAt({ changes }: FeedHistory, at: number): number | undefined {
+function removedAt({ changes }: WatchHistory, at: number): number | undefined {
   const made = changes.filter((change) => change <= at).sort((one, other) => one - other);
   return made.length % 2 === 1 ? made.at(-1) : undefined;
 }
 
 /** Checks what entries are seen to do over seeded histories of their feeds. */
-async function checkFeeds(
+async function checkWatchHistories(
   numRuns: number,
-  check: (history: FeedHistory, sights: FeedSights) => void,
+  check: (history: WatchHistory, sights: WatchObservations) => void,
 ): Promise<void> {
   let honoured = 0;
-  const property = fc.asyncProperty(feedHistories, async (history) => {
-    const sights = await runFeedHistory(history, feedHistoryMs);
+  const property = fc.asyncProperty(watchHistories, async (history) => {
+    const sights = await runWatchHistory(history, watchHistoryMs);
     honoured += sights.honouredAt.length;
     check(history, sights);
   });
@@ -190,7 +195,7 @@
 Then(
   'in {int} histories no entry honours a key later than the bound after its removal',
   (numRuns: number) =>
-    checkFeeds(numRuns, (history, { honouredAt }) =>
+    checkWatchHistories(numRuns, (history, { honouredAt }) =>
       honouredAt.forEach((at) => {
         const ageMs = at - (removedAt(history, at) ?? at);
         assert.ok(ageMs <= platformBounds.revocationMs, `${ageMs} ms after its removal`);
@@ -199,7 +204,7 @@
 );
 
 Then("in {int} histories no entry's configuration goes back", (numRuns: number) =>
-  checkFeeds(numRuns, (_history, { versions }) => {
+  checkWatchHistories(numRuns, (_history, { versions }) => {
     const ordered = [...versions].sort((one, other) => one - other);
     assert.deepEqual(versions, ordered);
   }),
--- a/features/steps/sidecar.steps.ts
+++ b/features/steps/sidecar.steps.ts
@@ -8,11 +8,11 @@
 import { Sidecar } from '@laburnumstream/sidecar';
 import { eventually } from '../support/assertions.js';
 import { platformBounds } from '../support/platformBounds.js';
-import { PieceSource } from '../support/pieceSource.js';
+import { FaultyPieceOrigin } from '../support/pieceSource.js';
 import { StagingEngine, testVersion } from '../support/stagingEngine.js';
 
 const model = 'm1';
-const quiet = {
+const silentLog = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
@@ -22,14 +22,14 @@
 interface SidecarWorld {
   sidecarAbort: AbortController;
   sidecarEngine: StagingEngine;
-  sidecarOrigin: PieceSource;
+  sidecarOrigin: FaultyPieceOrigin;
   sidecarPort: number;
   sidecarEntry: FleetDatagrams;
   sidecarTimer: NodeJS.Timeout;
   sidecarMetrics: HistogramMetrics;
 }
 
-async function settingsOf(): Promise<SidecarSettings> {
+async function createSettings(): Promise<SidecarSettings> {
   // Datagrams go from the entry's address to the agent's at the same port.
   const [first] = await freePorts(2);
   return {
@@ -51,10 +51,10 @@
 Given(
   'an agent beside an empty engine and an origin with version 1',
   async function start(this: SidecarWorld) {
-    const settings = await settingsOf();
+    const settings = await createSettings();
     this.sidecarAbort = new AbortController();
     this.sidecarEngine = new StagingEngine();
-    this.sidecarOrigin = new PieceSource();
+    this.sidecarOrigin = new FaultyPieceOrigin();
     this.sidecarPort = settings.firstPort;
     const clock = new SystemClock();
     const metrics = new HistogramMetrics();
@@ -67,10 +67,10 @@
       clock,
       random: new SeededRandom(5),
       metrics,
-      log: () => quiet,
+      log: () => silentLog,
     });
     await sidecar.start(this.sidecarAbort.signal);
-    this.sidecarEntry = new FleetDatagrams('front-1', {}, clock, metrics, quiet);
+    this.sidecarEntry = new FleetDatagrams('front-1', {}, clock, metrics, silentLog);
     await this.sidecarEntry.bind('127.0.0.2', settings.firstPort, this.sidecarAbort.signal);
   },
 );
@@ -78,8 +78,8 @@
 Given(
   'each fifth piece from the origin is wrong and each seventh is spoilt at the engine',
   function spoil(this: SidecarWorld) {
-    this.sidecarOrigin.wrongEach = 5;
-    this.sidecarEngine.spoilsEach = 7;
+    this.sidecarOrigin.corruptEvery = 5;
+    this.sidecarEngine.corruptEvery = 7;
   },
 );
 
--- a/features/steps/soak.steps.ts
+++ b/features/steps/soak.steps.ts
@@ -12,11 +12,11 @@
   soakErrors: string;
 }
 
-const soakLimitMs = 150_000;
+const soakTimeoutMs = 150_000;
 const program = fileURLToPath(new URL('../../../bench/dist/soak.js', import.meta.url));
 
 /** Programs of a soak that run now and were started by this process or by one that has ended. */
-function programsLeft(): string[] {
+function findLeftoverPrograms(): string[] {
   return readdirSync('/proc')
     .filter((name) => /^\d+$/.test(name))
     .filter((id) => {
@@ -34,7 +34,7 @@
 
 When(
   /^the fault soak runs for (\S+) minutes with seed (\d+) and (\d+) processes$/,
-  { timeout: soakLimitMs },
+  { timeout: soakTimeoutMs },
   async function run(this: SoakWorld, minutes: string, seed: number, processes: number) {
     const args = ['--minutes', minutes, '--seed', `${seed}`, '--processes', `${processes}`];
     this.soakReport = await new SoakRun(readChoices(args)).run(new AbortController().signal);
@@ -74,5 +74,5 @@
 );
 
 Then('it has left no process behind', () => {
-  assert.deepEqual(programsLeft(), []);
+  assert.deepEqual(findLeftoverPrograms(), []);
 });
--- a/features/steps/spread.steps.ts
+++ b/features/steps/spread.steps.ts
@@ -4,7 +4,7 @@
 import type { VirtualEntry } from '@laburnumstream/bench';
 import { rendezvousOrder } from '@laburnumstream/common';
 import { configurationKey, parseConfiguration } from '@laburnumstream/decisions';
-import { patchBy } from './configuration.steps.js';
+import { createPatch } from './configuration.steps.js';
 
 const seed = 11;
 const secondMs = 1_000;
@@ -17,26 +17,26 @@
 }
 
 /** Patches that differ from each other. */
-function nextPatch(fleet: VirtualFleet) {
+function createNextPatch(fleet: VirtualFleet) {
   const revision = Math.max(...fleet.entries.map(({ keeper }) => keeper.configuration.revision));
   const id = `change-${revision}-${fleet.clock.now()}`;
-  return patchBy('ann', { defaults: { maxQueue: revision + 100 } }, id);
+  return createPatch('ann', { defaults: { maxQueue: revision + 100 } }, id);
 }
 
 /** An entry outside the data centre that the faults strike. */
-function editorOf({ entries }: VirtualFleet): VirtualEntry {
+function findEditor({ entries }: VirtualFleet): VirtualEntry {
   return entries.find(({ instance, answers }) => answers && instance.dataCentre !== dataCentre)!;
 }
 
-function entriesThere({ entries }: VirtualFleet): VirtualEntry[] {
+function getFaultyEntries({ entries }: VirtualFleet): VirtualEntry[] {
   return entries.filter(({ instance }) => instance.dataCentre === dataCentre);
 }
 
-function watchersThere(fleet: VirtualFleet): VirtualEntry[] {
-  return entriesThere(fleet).filter(({ spreader }) => spreader.isWatching);
+function getFaultyWatchers(fleet: VirtualFleet): VirtualEntry[] {
+  return getFaultyEntries(fleet).filter(({ spreader }) => spreader.isWatching);
 }
 
-function stored({ content }: VirtualFleet) {
+function readStored({ content }: VirtualFleet) {
   return parseConfiguration(content.values.get(configurationKey)?.value ?? '{}');
 }
 
@@ -45,7 +45,7 @@
   async function start(this: SpreadWorld, entries: number, agents: number, dataCentres: number) {
     this.virtual = new VirtualFleet({ seed, entries, agents, dataCentres });
     await this.virtual.run(3 * secondMs);
-    await this.virtual.change(nextPatch(this.virtual), this.virtual.entries[0]!);
+    await this.virtual.change(createNextPatch(this.virtual), this.virtual.entries[0]!);
     await this.virtual.run(5 * secondMs);
     this.struck = [];
   },
@@ -72,7 +72,7 @@
   'a change is in force everywhere within {int} second(s)',
   async function check(this: SpreadWorld, seconds: number) {
     const { virtual } = this;
-    const revision = await virtual.change(nextPatch(virtual), editorOf(virtual));
+    const revision = await virtual.change(createNextPatch(virtual), findEditor(virtual));
     await virtual.run(seconds * secondMs);
     const behind = virtual.entries.filter(
       ({ answers, keeper }) => answers && keeper.configuration.revision < revision,
@@ -85,18 +85,18 @@
 );
 
 When('the watchers of a data centre are killed', function kill(this: SpreadWorld) {
-  watchersThere(this.virtual).forEach((entry) => entry.kill());
+  getFaultyWatchers(this.virtual).forEach((entry) => entry.kill());
 });
 
 When('the watchers of a data centre freeze', function freeze(this: SpreadWorld) {
-  this.struck = watchersThere(this.virtual);
+  this.struck = getFaultyWatchers(this.virtual);
   this.struck.forEach(({ clock }) => clock.freeze());
 });
 
 Then(
   'the frozen entries take it within {int} seconds after they wake',
   async function check(this: SpreadWorld, seconds: number) {
-    const { revision } = stored(this.virtual);
+    const { revision } = readStored(this.virtual);
     this.struck.forEach(({ clock }) => clock.thaw());
     await this.virtual.run(seconds * secondMs);
     this.struck.forEach(({ keeper }) => assert.equal(keeper.configuration.revision, revision));
@@ -104,23 +104,23 @@
 );
 
 /** Cuts entries off from the store. */
-function loseStore(entries: readonly VirtualEntry[], isDown = true): void {
+function setStoreDown(entries: readonly VirtualEntry[], isDown = true): void {
   entries.forEach(({ store }) => Object.assign(store, { isDown }));
 }
 
 When('the watchers of a data centre lose the store', function lose(this: SpreadWorld) {
-  loseStore(watchersThere(this.virtual));
+  setStoreDown(getFaultyWatchers(this.virtual));
 });
 
 When('all entries of a data centre lose the store', function lose(this: SpreadWorld) {
-  loseStore(entriesThere(this.virtual));
+  setStoreDown(getFaultyEntries(this.virtual));
 });
 
 When(
   "the first {int} entries of a data centre's order are killed",
   function kill(this: SpreadWorld, count: number) {
     const nameOf = ({ instance }: VirtualEntry): string => instance.name;
-    const order = rendezvousOrder(`watch/${dataCentre}`, entriesThere(this.virtual), nameOf);
+    const order = rendezvousOrder(`watch/${dataCentre}`, getFaultyEntries(this.virtual), nameOf);
     order.slice(0, count).forEach((entry) => entry.kill());
   },
 );
@@ -131,10 +131,10 @@
 });
 
 When('the store is down and an entry restarts', async function restart(this: SpreadWorld) {
-  loseStore(this.virtual.entries);
+  setStoreDown(this.virtual.entries);
   await this.virtual.run(10 * secondMs);
   const started = this.virtual.restart(this.virtual.entries[7]!);
-  loseStore([started]);
+  setStoreDown([started]);
   this.struck = [started];
 });
 
@@ -142,7 +142,7 @@
   'it has the newest revision within {int} second',
   async function check(this: SpreadWorld, seconds: number) {
     await this.virtual.run(seconds * secondMs);
-    const { revision } = stored(this.virtual);
+    const { revision } = readStored(this.virtual);
     assert.equal(this.struck[0]!.keeper.configuration.revision, revision);
   },
 );
@@ -151,7 +151,7 @@
   const { virtual } = this;
   const older = virtual.content.snapshot();
   for (let index = 0; index < n; index += 1) {
-    await virtual.change(nextPatch(virtual), editorOf(virtual));
+    await virtual.change(createNextPatch(virtual), findEditor(virtual));
     await virtual.run(2 * secondMs);
   }
   virtual.content.restore(older);
@@ -161,7 +161,7 @@
   'no process goes back and the store has the newest revision within {int} seconds',
   async function check(this: SpreadWorld, seconds: number) {
     await this.virtual.run(seconds * secondMs);
-    const { revision } = stored(this.virtual);
+    const { revision } = readStored(this.virtual);
     assert.equal(revision, 3);
     this.virtual.entries.forEach(({ keeper }) =>
       assert.equal(keeper.configuration.revision, revision),
@@ -181,7 +181,7 @@
   function check(this: SpreadWorld, most: number) {
     const calls = this.virtual.content.calls - this.callsBefore;
     assert.ok(calls <= most, `${calls} calls`);
-    const { revision } = stored(this.virtual);
+    const { revision } = readStored(this.virtual);
     this.virtual.entries.forEach(({ keeper }) =>
       assert.equal(keeper.configuration.revision, revision),
     );
@@ -189,7 +189,7 @@
 );
 
 When('the store is down for {int} seconds', async function down(this: SpreadWorld, n: number) {
-  loseStore(this.virtual.entries);
+  setStoreDown(this.virtual.entries);
   await this.virtual.run(n * secondMs);
 });
 
@@ -199,8 +199,8 @@
     const { virtual } = this;
     const watching = virtual.entries.filter(({ spreader }) => spreader.isWatching);
     assert.ok(watching.length <= most, `${watching.length} watch`);
-    loseStore(virtual.entries, false);
-    const revision = await virtual.change(nextPatch(virtual), editorOf(virtual));
+    setStoreDown(virtual.entries, false);
+    const revision = await virtual.change(createNextPatch(virtual), findEditor(virtual));
     await virtual.run(seconds * secondMs);
     virtual.entries.forEach(({ keeper }) => assert.equal(keeper.configuration.revision, revision));
     assertWatchers(virtual, 6);
--- a/features/steps/spreadHistories.steps.ts
+++ b/features/steps/spreadHistories.steps.ts
@@ -3,16 +3,16 @@
 import fc from 'fast-check';
 import { VirtualFleet, revertsOf } from '@laburnumstream/bench';
 import { CallFault } from '@laburnumstream/standins';
-import { tell } from '../support/changeHistory.js';
-import type { Told } from '../support/changeHistory.js';
-import { faultsOfSpread } from '../support/spreadHistory.js';
-import { patchBy } from './configuration.steps.js';
+import { recordOutcome } from '../support/changeHistory.js';
+import type { ChangeOutcome } from '../support/changeHistory.js';
+import { findSpreadFaults } from '../support/spreadHistory.js';
+import { createPatch } from './configuration.steps.js';
 
 const seed = 20_262;
 const shape = { entries: 24, agents: 12, dataCentres: 3 };
-const healMs = 20_000;
-const longestPauseMs = 1_500;
-const longestFaultMs = 12_000;
+const recoveryMs = 20_000;
+const maxPauseMs = 1_500;
+const maxFaultMs = 12_000;
 
 /** What happens to a fleet at one step; each undoes itself after a time. */
 const faults = {
@@ -48,10 +48,10 @@
 const step = fc.record({
   fault: fc.constantFrom(...(Object.keys(faults) as (keyof typeof faults)[])),
   faulty: fc.nat(shape.entries - 1),
-  faultMs: fc.integer({ min: 1_000, max: longestFaultMs }),
+  faultMs: fc.integer({ min: 1_000, max: maxFaultMs }),
   editor: fc.nat(shape.entries - 1),
   item: fc.nat(3),
-  pauseMs: fc.nat(longestPauseMs),
+  pauseMs: fc.nat(maxPauseMs),
 });
 const history = fc.record({
   seed: fc.nat(),
@@ -69,13 +69,13 @@
   editor: number,
   item: number,
   changeId: string,
-): Promise<Told> {
+): Promise<ChangeOutcome> {
   const services = { [`item-${item}`]: { kind: 'plain', nonIdempotentPaths: [`/${changeId}`] } };
   const entry = fleet.entries[editor]!;
-  const change = patchBy(`author-${editor}`, { services }, changeId);
+  const change = createPatch(`author-${editor}`, { services }, changeId);
   const applied = entry.editor.apply(change, new AbortController().signal);
   // A killed process tells nobody anything.
-  return tell(changeId, applied).then((told) =>
+  return recordOutcome(changeId, applied).then((told) =>
     entry.isAlive ? told : { changeId, outcome: 'acceptance_unknown' },
   );
 }
@@ -83,21 +83,21 @@
 async function runHistory(
   { seed: of, steps }: typeof history extends fc.Arbitrary<infer Value> ? Value : never,
   checksConditions: boolean,
-): Promise<{ faults: string[]; told: Told[] }> {
+): Promise<{ faults: string[]; told: ChangeOutcome[] }> {
   const fleet = new VirtualFleet({ seed: of, ...shape });
   fleet.content.checksConditions = checksConditions;
   await fleet.run(1_000);
-  const telling: Promise<Told>[] = [];
+  const telling: Promise<ChangeOutcome>[] = [];
   for (const [index, { fault, faulty, faultMs, editor, item, pauseMs }] of steps.entries()) {
     faults[fault](fleet, faulty, faultMs);
     telling.push(startChange(fleet, editor, item, `change-${index}-a`));
     telling.push(startChange(fleet, (editor + 1) % shape.entries, item, `change-${index}-b`));
     await fleet.run(pauseMs);
   }
-  await fleet.run(longestFaultMs);
+  await fleet.run(maxFaultMs);
   const told = await fleet.clock.runFor(Promise.all(telling));
-  await fleet.run(healMs);
-  return { faults: faultsOfSpread(fleet, told), told };
+  await fleet.run(recoveryMs);
+  return { faults: findSpreadFaults(fleet, told), told };
 }
 
 async function runHistories(
--- a/features/steps/stops.steps.ts
+++ b/features/steps/stops.steps.ts
@@ -18,7 +18,7 @@
 /** Idle connections are closed after half of it, which is before the stream's end. */
 const shutdownMs = 2_400;
 
-function requestText(id: string): string {
+function createRequestText(id: string): string {
   return [
     'POST /stream/x HTTP/1.1',
     `host: ${platformHost}`,
@@ -47,7 +47,7 @@
       this.stopText += text;
     });
     this.stopCaller.on('error', () => undefined);
-    this.stopCaller.write(requestText('long'));
+    this.stopCaller.write(createRequestText('long'));
     await sleep(150);
     await this.platformEntry.stop();
     await eventually(() => this.stopText.endsWith('0\r\n\r\n'), 'the stream has ended');
@@ -64,7 +64,7 @@
 
 Then('its connection takes no further request', async function closed(this: StopsWorld) {
   await sleep(200);
-  this.stopCaller.write(requestText('late'));
+  this.stopCaller.write(createRequestText('late'));
   await sleep(300);
   const ran = this.platform.engines.flatMap((engine) => engine.ran);
   assert.deepEqual(ran, ['long']);
--- a/features/steps/takeOut.steps.ts
+++ b/features/steps/takeOut.steps.ts
@@ -14,15 +14,15 @@
   takeOutAnswer: Promise<Seen>;
 }
 
-function entryIn(fleet: Fleet, dataCentre: string): FleetEntry {
+function findEntry(fleet: Fleet, dataCentre: string): FleetEntry {
   return fleet.entries.find(({ centre }) => centre.name === dataCentre)!;
 }
 
-function enginesIn(fleet: Fleet, dataCentre: string): FleetAgent[] {
+function findEngines(fleet: Fleet, dataCentre: string): FleetAgent[] {
   return fleet.agents.filter(({ centre, engine }) => engine && centre.name === dataCentre);
 }
 
-async function readyStatus(entry: FleetEntry): Promise<number> {
+async function fetchReadyStatus(entry: FleetEntry): Promise<number> {
   return (await fetch(`${entry.callers}/ready`)).status;
 }
 
@@ -30,10 +30,10 @@
   'a fleet for take-out with a running answer in south-a',
   async function start(this: TakeOutWorld) {
     this.takeOutFleet = await Fleet.start(small, { engine: { tokenMs: 20 }, logLevel: 'warn' });
-    const entry = entryIn(this.takeOutFleet, 'south-a');
+    const entry = findEntry(this.takeOutFleet, 'south-a');
     this.takeOutCaller = new Caller(entry.callers);
     this.takeOutAnswer = this.takeOutCaller.complete(service, 'a long draft', { maxTokens });
-    const [{ engine }] = enginesIn(this.takeOutFleet, 'south-a') as [FleetAgent];
+    const [{ engine }] = findEngines(this.takeOutFleet, 'south-a') as [FleetAgent];
     await eventually(() => engine!.running > 0, 'the engine in south-a runs the request');
   },
 );
@@ -46,7 +46,7 @@
 When('operators take out south-a', async function takeOut(this: TakeOutWorld) {
   const fleet = this.takeOutFleet;
   await fleet.admin('POST', 'data-centres/south-a/take-out', { reason: 'test' });
-  const isOut = async () => (await readyStatus(entryIn(fleet, 'south-a'))) === 503;
+  const isOut = async () => (await fetchReadyStatus(findEntry(fleet, 'south-a'))) === 503;
   await eventually(isOut, 'the entry of south-a is not ready');
 });
 
@@ -65,13 +65,13 @@
   'its entry is not ready but serves what still comes from north-a',
   async function check(this: TakeOutWorld) {
     const fleet = this.takeOutFleet;
-    const before = enginesIn(fleet, 'south-a').map(({ engine }) => engine!.runs.length);
-    assert.equal(await readyStatus(entryIn(fleet, 'south-a')), 503);
+    const before = findEngines(fleet, 'south-a').map(({ engine }) => engine!.runs.length);
+    assert.equal(await fetchReadyStatus(findEntry(fleet, 'south-a')), 503);
     for (let index = 0; index < 5; index += 1) {
       const seen = await this.takeOutCaller.complete(service, `late ${index}`, { maxTokens: 2 });
       assert.equal(seen.ended, true, JSON.stringify(seen.error));
     }
-    const after = enginesIn(fleet, 'south-a').map(({ engine }) => engine!.runs.length);
+    const after = findEngines(fleet, 'south-a').map(({ engine }) => engine!.runs.length);
     assert.deepEqual(after, before);
   },
 );
@@ -79,7 +79,7 @@
 Then(
   'its endpoints refuse an entry that does not know of it',
   async function check(this: TakeOutWorld) {
-    for (const { internal } of enginesIn(this.takeOutFleet, 'south-a')) {
+    for (const { internal } of findEngines(this.takeOutFleet, 'south-a')) {
       const { tokens, refusal } = await directRun(internal, service);
       assert.equal(tokens, 0);
       assert.equal(refusal?.execution, 'not run');
@@ -91,9 +91,9 @@
   'its entry is ready and its endpoints start with the cold limit',
   async function check(this: TakeOutWorld) {
     const fleet = this.takeOutFleet;
-    const isBack = async () => (await readyStatus(entryIn(fleet, 'south-a'))) === 200;
+    const isBack = async () => (await fetchReadyStatus(findEntry(fleet, 'south-a'))) === 200;
     await eventually(isBack, 'the entry of south-a is ready');
-    const [{ weights }] = enginesIn(fleet, 'south-a') as [FleetAgent];
+    const [{ weights }] = findEngines(fleet, 'south-a') as [FleetAgent];
     const turnedCold = async (): Promise<boolean> => {
       const metrics = await (await fetch(`${weights}/metrics`)).text();
       return metrics.includes('endpoint_turned_cold_return_total 1');
--- a/features/steps/timeouts.steps.ts
+++ b/features/steps/timeouts.steps.ts
@@ -15,7 +15,7 @@
   silentSockets: Set<Socket>;
 }
 
-const signals = 50;
+const signalCount = 50;
 const limitMs = 200;
 const collectGapMs = 20;
 
@@ -23,7 +23,7 @@
 const collect = runInNewContext('gc') as () => void;
 
 /** Whether work ends within a time in which memory is collected all along. */
-async function ends(work: Promise<unknown>, withinMs: number): Promise<boolean> {
+async function endsWithin(work: Promise<unknown>, withinMs: number): Promise<boolean> {
   let hasEnded = false;
   const end = (): void => {
     hasEnded = true;
@@ -37,11 +37,11 @@
   return hasEnded;
 }
 
-function addressOf(server: Server): string {
+function getAddress(server: Server): string {
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-function firing(signal: AbortSignal): Promise<void> {
+function waitForAbort(signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     signal.addEventListener('abort', () => resolve());
   });
@@ -70,8 +70,10 @@
   '50 signals with a timeout of 200 ms and an owner fire although memory is collected',
   async () => {
     const owner = new AbortController();
-    const all = Array.from({ length: signals }, () => firing(timeLimit(limitMs, owner.signal)));
-    assert.ok(await ends(Promise.all(all), 2_000), 'not all signals fired');
+    const all = Array.from({ length: signalCount }, () =>
+      waitForAbort(timeLimit(limitMs, owner.signal)),
+    );
+    assert.ok(await endsWithin(Promise.all(all), 2_000), 'not all signals fired');
   },
 );
 
@@ -79,8 +81,8 @@
   'a call to it as an engine fails within 4 seconds although memory is collected',
   async function call(this: TimeoutsWorld) {
     const owner = new AbortController();
-    const client = new EngineClient(addressOf(this.silent));
-    assert.ok(await ends(client.getState(owner.signal), 4_000), 'the call is still waiting');
+    const client = new EngineClient(getAddress(this.silent));
+    assert.ok(await endsWithin(client.getState(owner.signal), 4_000), 'the call is still waiting');
   },
 );
 
@@ -89,11 +91,14 @@
   async function watch(this: TimeoutsWorld) {
     const quiet = () => undefined;
     const log = { debug: quiet, info: quiet, warn: quiet, error: quiet };
-    const engine = new EngineClient(addressOf(this.silent));
+    const engine = new EngineClient(getAddress(this.silent));
     const metrics = new HistogramMetrics();
     const watching = new EngineMonitor(engine, new SystemClock(), metrics, log, quiet);
     const owner = new AbortController();
-    assert.ok(await ends(watching.poll(owner.signal), 2_000), 'the question is still waiting');
+    assert.ok(
+      await endsWithin(watching.poll(owner.signal), 2_000),
+      'the question is still waiting',
+    );
   },
 );
 
@@ -101,7 +106,10 @@
   'a call to it as the store fails within 3 seconds although memory is collected',
   async function call(this: TimeoutsWorld) {
     const owner = new AbortController();
-    const client = new StoreClient(addressOf(this.silent));
-    assert.ok(await ends(client.snapshot('', owner.signal), 3_000), 'the call is still waiting');
+    const client = new StoreClient(getAddress(this.silent));
+    assert.ok(
+      await endsWithin(client.snapshot('', owner.signal), 3_000),
+      'the call is still waiting',
+    );
   },
 );
--- a/features/steps/weightTransfer.steps.ts
+++ b/features/steps/weightTransfer.steps.ts
@@ -36,7 +36,7 @@
 const secondMs = 1_000;
 const pastDeadlineMs = 100_000;
 
-function membersOf(count: number): WeightMember[] {
+function createMembers(count: number): WeightMember[] {
   return Array.from({ length: count }, (_, index) => ({
     name: `member-${index}`,
     region,
@@ -47,7 +47,7 @@
 Given(
   'a weight transfer of one chunk beside {int} other members',
   function prepare(this: WeightTransferWorld, others: number) {
-    const topology = new Topology(digest, membersOf(others + 1), region);
+    const topology = new Topology(digest, createMembers(others + 1), region);
     const last = topology.at(0, others, 0)!;
     this.weightTransfer = new Transfer(1, last, topology, sourceOrders.trees);
     [this.firstFetch] = this.weightTransfer.start(0) as [ChunkFetch];
@@ -96,11 +96,11 @@
 Given(
   'a weight topology of {int} members in one data centre',
   function prepare(this: WeightTransferWorld, count: number) {
-    this.weightMembers = membersOf(count);
+    this.weightMembers = createMembers(count);
   },
 );
 
-function firstSource(topology: Topology, member: WeightMember, chunk: number) {
+function getFirstSource(topology: Topology, member: WeightMember, chunk: number) {
   const [first] = sourceOrders.trees(topology, member, chunk);
   return first!;
 }
@@ -112,7 +112,7 @@
     const sent = new Map<string, number>();
     for (let chunk = 0; chunk < chunks; chunk += 1) {
       this.weightMembers.forEach((member) => {
-        const source = firstSource(topology, member, chunk);
+        const source = getFirstSource(topology, member, chunk);
         if (source !== origin) sent.set(source.name, (sent.get(source.name) ?? 0) + 1);
       });
     }
@@ -205,14 +205,14 @@
 });
 
 /** Whether the first sources of a chunk lead from a member back to itself. */
-function leadsBack(
+function isInCycle(
   { weightMembers, weightViews }: WeightTransferWorld,
   start: WeightMember,
   chunk: number,
 ): boolean {
   let at = start;
   for (let hop = 0; hop <= weightMembers.length; hop += 1) {
-    const source = firstSource(weightViews.get(at.name)!, at, chunk);
+    const source = getFirstSource(weightViews.get(at.name)!, at, chunk);
     if (source === origin) return false;
     at = source;
     if (at.name === start.name) return true;
@@ -224,7 +224,7 @@
   'over {int} chunks no first sources form a circle',
   function check(this: WeightTransferWorld, chunks: number) {
     const circles = Array.from({ length: chunks }, (_, chunk) => chunk).filter((chunk) =>
-      this.weightMembers.some((member) => leadsBack(this, member, chunk)),
+      this.weightMembers.some((member) => isInCycle(this, member, chunk)),
     );
     assert.deepEqual(circles, []);
   },
--- a/features/steps/wholeAnswers.steps.ts
+++ b/features/steps/wholeAnswers.steps.ts
@@ -5,8 +5,13 @@
 import { ResponseCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
 import { platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
-import { answerReaders, callEndpoint, secondOutcome } from '../support/answerReaders.js';
-import { framings, sendScripted, unframed, wholeBody } from '../support/scriptedAnswers.js';
+import { responseReaders, callEndpoint, getSecondOutcome } from '../support/answerReaders.js';
+import {
+  framings,
+  sendScriptedResponse,
+  closeDelimited,
+  wholeBody,
+} from '../support/scriptedAnswers.js';
 import { ScriptedEndpoint } from '../support/scriptedEndpoint.js';
 
 interface AnswersWorld {
@@ -21,19 +26,21 @@
 /** Time for which a reader has paused, in milliseconds. */
 const pausedMs = 100;
 
-const cuts = ['a reset before the end', 'a reset at once'];
-const framed = Object.keys(framings).filter((framing) => !unframed.includes(framing));
+const abruptEndings = ['a reset before the end', 'a reset at once'];
+const delimited = Object.keys(framings).filter((framing) => !closeDelimited.includes(framing));
 
 /** Framings with the endings that cut them. */
-const cutAnswers = [
-  ...Object.keys(framings).flatMap((framing) => cuts.map((ending) => [framing, ending] as const)),
-  ...framed.map((framing) => [framing, 'a close before the end'] as const),
-  ...unframed.map((framing) => [framing, 'a reset after many pieces'] as const),
+const truncatedResponses = [
+  ...Object.keys(framings).flatMap((framing) =>
+    abruptEndings.map((ending) => [framing, ending] as const),
+  ),
+  ...delimited.map((framing) => [framing, 'a close before the end'] as const),
+  ...closeDelimited.map((framing) => [framing, 'a reset after many pieces'] as const),
 ];
 
 /** Framings with the endings that belong to them. */
-const wholeAnswers = [
-  ...framed.map((framing) => [framing, 'all bytes'] as const),
+const completeResponses = [
+  ...delimited.map((framing) => [framing, 'all bytes'] as const),
   ...Object.keys(framings).map((framing) => [framing, 'a close'] as const),
 ];
 
@@ -45,10 +52,10 @@
   const { taken, refused } = Object.assign(world, { taken: [], refused: [] });
   for (const [framing, ending] of answers) {
     const endpoint = await ScriptedEndpoint.start((socket) =>
-      sendScripted(socket, framing, ending, 'r1'),
+      sendScriptedResponse(socket, framing, ending, 'r1'),
     );
     const name = `${framing}, ${ending}`;
-    await answerReaders[reader]!(endpoint.address).then(
+    await responseReaders[reader]!(endpoint.address).then(
       (body) => taken.push(body === undefined || body === wholeBody ? name : `${name}: ${body}`),
       (error: unknown) => refused.push(`${name}: ${String(error)}`),
     );
@@ -61,21 +68,21 @@
 });
 
 When(/^(.+) reads answers that are cut$/, function cut(this: AnswersWorld, reader: string) {
-  return read(this, reader, cutAnswers);
+  return read(this, reader, truncatedResponses);
 });
 
 When(/^(.+) reads answers that end as they say$/, function whole(this: AnswersWorld, name: string) {
-  return read(this, name, wholeAnswers);
+  return read(this, name, completeResponses);
 });
 
 Then('it takes none of them for whole', function none(this: AnswersWorld) {
   assert.deepEqual(this.taken, []);
-  assert.equal(this.refused.length, cutAnswers.length);
+  assert.equal(this.refused.length, truncatedResponses.length);
 });
 
 Then('it takes all of them for whole', function all(this: AnswersWorld) {
   assert.deepEqual(this.refused, []);
-  const names = wholeAnswers.map(([framing, ending]) => `${framing}, ${ending}`);
+  const names = completeResponses.map(([framing, ending]) => `${framing}, ${ending}`);
   assert.deepEqual(this.taken, names);
 });
 
@@ -101,9 +108,9 @@
     this.answering = await ScriptedEndpoint.start((socket) => {
       requests += 1;
       const id = requests === 1 || how === 'with' ? 'r1' : undefined;
-      sendScripted(socket, 'a length', 'all bytes', id);
+      sendScriptedResponse(socket, 'a length', 'all bytes', id);
     });
-    this.outcome = await secondOutcome(this.answering.address);
+    this.outcome = await getSecondOutcome(this.answering.address);
   },
 );
 
@@ -114,10 +121,10 @@
     this.answering = await ScriptedEndpoint.start((socket) => {
       requests += 1;
       const refusal = 'HTTP/1.1 503 Full\r\nLaburnumstream-Not-Executed: 1\r\n';
-      if (requests === 1) sendScripted(socket, 'a length', 'all bytes', 'r1');
+      if (requests === 1) sendScriptedResponse(socket, 'a length', 'all bytes', 'r1');
       else socket.write(`${refusal}Content-Length: 0\r\n\r\n`);
     });
-    this.outcome = await secondOutcome(this.answering.address);
+    this.outcome = await getSecondOutcome(this.answering.address);
   },
 );
 
@@ -130,7 +137,7 @@
   /^an endpoint ends an answer with (.+) by (.+) while its reader has paused$/,
   async function pause(this: AnswersWorld, framing: string, ending: string) {
     this.answering = await ScriptedEndpoint.start((socket) =>
-      sendScripted(socket, framing, ending, 'r1'),
+      sendScriptedResponse(socket, framing, ending, 'r1'),
     );
     const pool = new ConnectionPool(
       this.answering.address,
--- a/features/support/admissionHistory.ts
+++ b/features/support/admissionHistory.ts
@@ -9,8 +9,8 @@
   | { readonly kind: 'replace' }
   | { readonly kind: 'report'; readonly lagMs: number };
 
-/** Bounds of the modelled endpoint and of its admission. */
-export interface AdmissionModel {
+/** Parameters of the simulated endpoint and of its admission limit. */
+export interface EndpointModel {
   readonly coldLimit: number;
   readonly warmAfterUnits: number;
   readonly capacity: number;
@@ -31,34 +31,40 @@
 }
 
 const durationMs = 120;
-const tokenMs = 10;
-/** Time after which work on a silent connection is given up. */
-const silenceMs = 5_000;
+const tickMs = 10;
+/** Time after its expected end at which work of an earlier boot is given up, in milliseconds. */
+const abandonAfterMs = 5_000;
 
-/** An endpoint in virtual time behind an admission limit, over resets and lagging reports. */
-export class AdmissionHistory {
+/** Simulates an endpoint behind an admission limit, with restarts and delayed load reports. */
+export class AdmissionSimulation {
   readonly admission: AdmissionLimit;
 
-  /** Most units at once on a cold boot, but for work that ran alone. */
-  mostWhileCold = 0;
+  /**
+   * Maximum concurrent units on a cold boot, once its start is noticed and no work of earlier boots
+   * is left. A request that runs alone doesn't count.
+   */
+  maxWhileCold = 0;
 
-  /** Most units on a boot whose start was not noticed yet, beyond limit and work on dead boots. */
-  mostUnnoticed = -Infinity;
+  /**
+   * Maximum of the concurrent units, work left from earlier boots included, beyond the larger of
+   * the admission limit and the cold limit while the endpoint is cold.
+   */
+  maxUnnoticedExcess = -Infinity;
 
-  finished = 0;
+  finishedRequests = 0;
 
   private now = 0;
 
   private boot = 0;
 
-  /** The newest boot whose start the agent was told of, by reset connections or a report. */
+  /** The newest boot that the agent has noticed, by broken connections or a report. */
   private noticedBoot = 0;
 
   private reportedBoot = 0;
 
-  private mostHere = 0;
+  private maxOnCurrentBoot = 0;
 
-  private served = 0;
+  private servedUnits = 0;
 
   private running: RunningWork[] = [];
 
@@ -66,7 +72,7 @@
 
   private reports: Report[] = [];
 
-  constructor(private readonly model: AdmissionModel) {
+  constructor(private readonly model: EndpointModel) {
     const { coldLimit, capacity } = model;
     this.admission = new AdmissionLimit({ coldLimit, maxLimit: capacity });
   }
@@ -77,16 +83,16 @@
     if (step.kind === 'restart') this.restart();
     if (step.kind === 'replace') this.startBoot();
     if (step.kind === 'report') this.sendReport(step.lagMs);
-    this.pump();
+    this.dispatch();
   }
 
-  /** Most units at once on the present boot. */
-  get mostOnBoot(): number {
-    return this.mostHere;
+  /** Maximum concurrent units on the current boot. */
+  get maxOnBoot(): number {
+    return this.maxOnCurrentBoot;
   }
 
   private get isCold(): boolean {
-    return this.served < this.model.warmAfterUnits;
+    return this.servedUnits < this.model.warmAfterUnits;
   }
 
   private arrive(units: number, count: number): void {
@@ -95,11 +101,11 @@
 
   private startBoot(): void {
     this.boot += 1;
-    this.mostHere = 0;
-    this.served = 0;
+    this.maxOnCurrentBoot = 0;
+    this.servedUnits = 0;
   }
 
-  /** All connections break: the agent sees it at once. */
+  /** Restarts the endpoint and breaks all connections, which the agent notices at once. */
   private restart(): void {
     this.startBoot();
     this.noticedBoot = this.boot;
@@ -117,14 +123,14 @@
   private advance(ms: number): void {
     const until = this.now + ms;
     while (this.now < until) {
-      this.now += tokenMs;
-      this.takeReports();
-      this.runWork();
-      this.pump();
+      this.now += tickMs;
+      this.applyDueReports();
+      this.stepRunningWork();
+      this.dispatch();
     }
   }
 
-  private takeReports(): void {
+  private applyDueReports(): void {
     this.reports
       .filter(({ at }) => at <= this.now)
       .forEach(({ boot, capacity }) => {
@@ -136,44 +142,44 @@
     this.reports = this.reports.filter(({ at }) => at > this.now);
   }
 
-  private runWork(): void {
+  private stepRunningWork(): void {
     [...this.running].forEach((each) => {
       const isAlive = each.boot === this.boot;
       if (isAlive) this.admission.progress(each.work.epoch, this.now);
-      this.pump();
-      if (!this.isOver(each)) return;
+      this.dispatch();
+      if (!this.hasEnded(each)) return;
       this.running = this.running.filter((other) => other !== each);
-      if (isAlive) this.served += each.units;
-      if (isAlive) this.finished += 1;
+      if (isAlive) this.servedUnits += each.units;
+      if (isAlive) this.finishedRequests += 1;
       if (!isAlive) this.admission.turnCold(this.now);
       this.admission.finish(each.work, isAlive, this.now);
     });
   }
 
-  private isOver({ boot, endsAt }: RunningWork): boolean {
-    return this.now >= (boot === this.boot ? endsAt : endsAt + silenceMs);
+  private hasEnded({ boot, endsAt }: RunningWork): boolean {
+    return this.now >= (boot === this.boot ? endsAt : endsAt + abandonAfterMs);
   }
 
-  private pump(): void {
+  private dispatch(): void {
     while (this.backlog.length > 0 && this.admission.fits(this.backlog[0]!, this.now)) {
       const units = this.backlog.shift()!;
       const work = this.admission.start(units, this.now);
       this.running.push({ units, work, boot: this.boot, endsAt: this.now + durationMs });
-      this.check();
+      this.updateMaxima();
     }
   }
 
-  private check(): void {
-    const here = this.running.filter(({ boot }) => boot === this.boot);
-    const units = here.reduce((sum, each) => sum + each.units, 0);
-    this.mostHere = Math.max(this.mostHere, units);
-    if (!this.isCold || here.length < 2) return;
-    const dead = this.running.filter(({ boot }) => boot !== this.boot);
-    const deadUnits = dead.reduce((sum, each) => sum + each.units, 0);
-    if (deadUnits === 0 && this.noticedBoot === this.boot) {
-      this.mostWhileCold = Math.max(this.mostWhileCold, units);
+  private updateMaxima(): void {
+    const current = this.running.filter(({ boot }) => boot === this.boot);
+    const units = current.reduce((sum, each) => sum + each.units, 0);
+    this.maxOnCurrentBoot = Math.max(this.maxOnCurrentBoot, units);
+    if (!this.isCold || current.length < 2) return;
+    const stale = this.running.filter(({ boot }) => boot !== this.boot);
+    const staleUnits = stale.reduce((sum, each) => sum + each.units, 0);
+    if (staleUnits === 0 && this.noticedBoot === this.boot) {
+      this.maxWhileCold = Math.max(this.maxWhileCold, units);
     }
-    const excess = units + deadUnits - Math.max(this.admission.limit, this.model.coldLimit);
-    this.mostUnnoticed = Math.max(this.mostUnnoticed, excess);
+    const excess = units + staleUnits - Math.max(this.admission.limit, this.model.coldLimit);
+    this.maxUnnoticedExcess = Math.max(this.maxUnnoticedExcess, excess);
   }
 }
--- a/features/support/assertions.ts
+++ b/features/support/assertions.ts
@@ -4,7 +4,7 @@
 const pollMs = 20;
 const defaultTimeoutMs = 10_000;
 
-/** Waits until a condition holds; fails the test otherwise. */
+/** Polls a condition until it holds; fails the test after a timeout. `what` describes the condition. */
 export async function eventually(
   condition: () => Promise<boolean> | boolean,
   what: string,
@@ -12,7 +12,7 @@
 ): Promise<void> {
   const deadline = performance.now() + timeoutMs;
   while (!(await condition())) {
-    assert.ok(performance.now() < deadline, `Waited too long until ${what}.`);
+    assert.ok(performance.now() < deadline, `Timed out waiting until ${what}.`);
     await sleep(pollMs);
   }
 }
--- a/features/support/callers.ts
+++ b/features/support/callers.ts
@@ -2,23 +2,23 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { platformHost } from './platformFleet.js';
 
-/** How one request ended for its caller. */
+/** The outcome of one request as its caller sees it. */
 export interface CallerResult {
   readonly id: string;
-  /** 0 when there was no answer. */
+  /** HTTP status; 0 when there was no complete response. */
   readonly status: number;
   readonly ms: number;
-  /** Why there was no answer. */
+  /** Message of the error that left the request without a complete response; otherwise empty. */
   readonly fault: string;
 }
 
 const secondMs = 1_000;
-/** Connections at once, fewer than a listening socket lets wait. */
-const mostConnections = 400;
+/** Maximum concurrent connections; fewer than the backlog of a listening socket. */
+const maxConnections = 400;
 
-/** Callers that keep their connections to one entry. */
+/** HTTP client of one entry with persistent connections. */
 export class Callers {
-  private readonly agent = new Agent({ keepAlive: true, maxSockets: mostConnections });
+  private readonly agent = new Agent({ keepAlive: true, maxSockets: maxConnections });
 
   constructor(
     /** IP:PORT */
@@ -26,7 +26,6 @@
     private readonly key = 'key-1',
   ) {}
 
-  /** Sends one request. */
   send(path: string, id: string): Promise<CallerResult> {
     const [host, port] = this.address.split(':');
     const startedAt = performance.now();
@@ -51,7 +50,7 @@
     });
   }
 
-  /** Sends `count` requests at a rate, whether those before have ended or not. */
+  /** Sends `count` requests at a fixed rate (an open loop: it doesn't wait for responses). */
   async flood(path: string, count: number, perSecond: number): Promise<CallerResult[]> {
     const startedAt = performance.now();
     const results: Promise<CallerResult>[] = [];
