--- a/features/support/changeHistory.ts
+++ b/features/support/changeHistory.ts
@@ -1,36 +1,39 @@
 import { Failure } from '@laburnumstream/common';
 import type { AuditRecord } from '@laburnumstream/decisions';
 
-/** What an operator was told of a change. */
-export interface Told {
+/** The outcome of a change as reported to its author. */
+export interface ChangeOutcome {
   readonly changeId: string;
-  /** The revision of an accepted change, else the type of the failure. */
+  /** The revision of an accepted change, otherwise the type of the failure. */
   readonly outcome: number | string;
 }
 
 const unknownTypes = ['acceptance_unknown'];
 
-/** Faults of a history: what operators were told against what the audit trail holds in the end. */
-export function faultsOfHistory(told: readonly Told[], trail: readonly AuditRecord[]): string[] {
+/** Finds contradictions between the outcomes reported to operators and the final audit trail. */
+export function findHistoryFaults(
+  outcomes: readonly ChangeOutcome[],
+  trail: readonly AuditRecord[],
+): string[] {
   const faults = trail
     .filter(({ revision }, index) => revision !== index + 1)
-    .map(({ revision }, index) => `revision ${revision} stands at place ${index + 1}`);
-  told.forEach(({ changeId, outcome }) => {
+    .map(({ revision }, index) => `revision ${revision} is at position ${index + 1}`);
+  outcomes.forEach(({ changeId, outcome }) => {
     const records = trail.filter((record) => record.changeId === changeId);
     const isAccepted = typeof outcome === 'number';
     if (records.length > 1) faults.push(`${changeId} was applied ${records.length} times`);
     if (isAccepted && records[0]?.revision !== outcome) faults.push(`${changeId} was lost`);
     const isRefused = !isAccepted && !unknownTypes.includes(outcome);
-    if (isRefused && records.length > 0) faults.push(`${changeId} was refused but is in force`);
+    if (isRefused && records.length > 0) faults.push(`${changeId} was refused but was applied`);
   });
   return faults;
 }
 
-/** Runs a change and notes what its author is told. */
-export async function tell(
+/** Awaits a change and records the outcome that its author sees. */
+export async function recordOutcome(
   changeId: string,
   change: Promise<{ readonly revision: number }>,
-): Promise<Told> {
+): Promise<ChangeOutcome> {
   try {
     return { changeId, outcome: (await change).revision };
   } catch (error) {
--- a/features/support/commandLine.ts
+++ b/features/support/commandLine.ts
@@ -4,24 +4,24 @@
 const { resolve } = createRequire(import.meta.url);
 const main = resolve('@laburnumstream/agent').replace('agent/dist/index.js', 'cli/dist/main.js');
 
-/** What a command printed and how it ended. */
+/** Exit code, standard output and standard error of a command. */
 export interface CommandResult {
   readonly code: number;
   readonly out: string;
   readonly error: string;
 }
 
-/** Runs an operators' command against an entry. */
+/** Runs the operators' command-line program against an entry. */
 export function runCommand(
   address: string,
   token: string,
   args: readonly string[],
 ): Promise<CommandResult> {
-  const all = [main, ...args, '--address', address, '--token', token];
-  return new Promise((done) => {
-    execFile(process.execPath, all, (failure, out, error) => {
+  const argv = [main, ...args, '--address', address, '--token', token];
+  return new Promise((resolveResult) => {
+    execFile(process.execPath, argv, (failure, out, error) => {
       const code = failure && typeof failure.code === 'number' ? failure.code : 0;
-      done({ code, out, error });
+      resolveResult({ code, out, error });
     });
   });
 }
--- a/features/support/countedRegions.ts
+++ b/features/support/countedRegions.ts
@@ -1,5 +1,5 @@
-/** The regions of data centres, with a count of the times that one is looked up. */
-export class CountedRegions extends Map<string, string> {
+/** Map from data centre to region that counts its lookups. */
+export class CountingRegionMap extends Map<string, string> {
   lookups = 0;
 
   override get(dataCentre: string): string | undefined {
--- a/features/support/directRun.ts
+++ b/features/support/directRun.ts
@@ -4,7 +4,10 @@
 
 const linkAgeMs = 60_000;
 
-/** Sends a request straight to an agent, as an entry that knows nothing of the fleet would. */
+/**
+ * Sends a request directly to an agent, bypassing the entries' routing and admission control, so
+ * that a test sees the agent's own checks.
+ */
 export async function directRun(
   address: string,
   service: string,
--- a/features/support/editingFleet.ts
+++ b/features/support/editingFleet.ts
@@ -4,9 +4,9 @@
 import { AuditTrail, ConfigurationEditor } from '@laburnumstream/entry';
 import type { Acceptance } from '@laburnumstream/entry';
 import { MemoryKeyValueStore, MemoryStoreContent, VirtualClock } from '@laburnumstream/standins';
-import { Holder } from './holder.js';
+import { InMemoryConfigurationHolder } from './holder.js';
 
-/** Several editors of one document, each with its own way to the store, in virtual time. */
+/** Several configuration editors of one document, each with its own store client, in virtual time. */
 export class EditingFleet {
   readonly clock = new VirtualClock();
 
@@ -14,11 +14,11 @@
 
   readonly stores: MemoryKeyValueStore[];
 
-  readonly holders: Holder[];
+  readonly holders: InMemoryConfigurationHolder[];
 
   private readonly editors: ConfigurationEditor[];
 
-  private readonly running = new AbortController();
+  private readonly abort = new AbortController();
 
   constructor(seed: number, editors = 2) {
     const random = new SeededRandom(seed);
@@ -26,7 +26,7 @@
       { length: editors },
       () => new MemoryKeyValueStore(this.content, this.clock, random),
     );
-    this.holders = this.stores.map(() => new Holder());
+    this.holders = this.stores.map(() => new InMemoryConfigurationHolder());
     this.editors = this.stores.map(
       (store, index) => new ConfigurationEditor(store, this.holders[index]!, this.clock),
     );
@@ -34,28 +34,32 @@
 
   /** Starts a change at an editor. */
   start(change: Change, editor = 0): Promise<Acceptance> {
-    return this.editors[editor]!.apply(change, this.running.signal);
+    return this.editors[editor]!.apply(change, this.abort.signal);
   }
 
-  /** Makes a change and waits for its outcome in virtual time. */
+  /** Applies a change and runs virtual time until its outcome is known. */
   apply(change: Change, editor = 0): Promise<Acceptance> {
     return this.clock.runFor(this.start(change, editor));
   }
 
   preview(change: Change) {
-    return this.clock.runFor(this.editors[0]!.preview(change, this.running.signal));
+    return this.clock.runFor(this.editors[0]!.preview(change, this.abort.signal));
   }
 
   /** The stored document. */
-  get stored(): Configuration {
+  get storedConfiguration(): Configuration {
     const text = this.content.values.get('laburnumstream/configuration')?.value;
     return parseConfiguration(text ?? '{}');
   }
 
-  /** The whole audit trail, oldest first. */
-  async trail(): Promise<readonly AuditRecord[]> {
+  /** Reads the whole audit trail, oldest record first. */
+  async readAuditTrail(): Promise<readonly AuditRecord[]> {
     const store = new MemoryKeyValueStore(this.content, this.clock, new SeededRandom(1));
-    const read = new AuditTrail(store).read(this.stored, { limit: 1_000 }, this.running.signal);
+    const read = new AuditTrail(store).read(
+      this.storedConfiguration,
+      { limit: 1_000 },
+      this.abort.signal,
+    );
     return (await this.clock.runFor(read)).records;
   }
 }
--- a/features/support/entryFleet.ts
+++ b/features/support/entryFleet.ts
@@ -1,37 +1,40 @@
 import type { Random } from '@laburnumstream/common';
 import { EntryCount } from '@laburnumstream/decisions';
 
-/** A fault of one entry, or of all of them. */
+/** A fault injected into one entry, or into all of them. */
 export interface EntryFault {
-  /** Whether processes die and start again, or lose the store. */
+  /** `kill`: the processes restart after `forMs`. `cut`: they can't reach the store for `forMs`. */
   readonly kind: 'kill' | 'cut';
   readonly atMs: number;
-  /** The entry that it strikes; undefined for all. */
+  /** Index of the affected entry, modulo the fleet's size; undefined for all. */
   readonly entry: number | undefined;
   readonly forMs: number;
 }
 
-/** Length of the leases of registrations, as entries ask for it. */
+/** Time to live of the leases that entries request for their registrations. */
 const leaseMs = 9_000;
 const renewMs = leaseMs / 3;
 const pollMs = 250;
 
-interface Process<Member> {
-  readonly member: Member;
+interface Process<State> {
+  readonly state: State;
   readonly count: EntryCount;
   nextPollAt: number;
   nextRenewalAt: number;
 }
 
-/** Entries in virtual time that register in a store, learn their number from it, die and are cut off. */
-export class EntryFleet<Member> {
-  private readonly processes: (Process<Member> | undefined)[];
+/**
+ * Simulates entries in virtual time that register in a store, learn the number of entries from it,
+ * restart and lose the store. Each running process owns a `State`, which a restart discards.
+ */
+export class EntryFleet<State> {
+  private readonly processes: (Process<State> | undefined)[];
 
   private readonly downUntil: number[];
 
-  private readonly cutUntil: number[];
+  private readonly disconnectedUntil: number[];
 
-  /** Ends of the leases by entry. */
+  /** Expiry of the leases, by entry. */
   private readonly leases = new Map<number, number>();
 
   constructor(
@@ -39,32 +42,32 @@
     private readonly faults: readonly EntryFault[],
     private readonly random: Random,
     private readonly createCount: () => EntryCount,
-    /** Creates what an entry's process keeps; it knows how many entries there are. */
-    private readonly createMember: (count: EntryCount) => Member,
+    /** Creates the state of a new process, which can read the number of entries from `count`. */
+    private readonly createState: (count: EntryCount) => State,
   ) {
     this.processes = Array.from({ length: size }, () => undefined);
     this.downUntil = Array.from({ length: size }, () => 0);
-    this.cutUntil = Array.from({ length: size }, () => 0);
+    this.disconnectedUntil = Array.from({ length: size }, () => 0);
   }
 
-  /** What the processes keep that are at work. */
-  get members(): Member[] {
-    return this.processes.flatMap((process) => (process ? [process.member] : []));
+  /** The states of the running processes. */
+  get states(): State[] {
+    return this.processes.flatMap((process) => (process ? [process.state] : []));
   }
 
-  /** Does what is due between the step before and `now`. */
+  /** Advances the simulation from `now - stepMs` to `now`. */
   step(now: number, stepMs: number): void {
     this.faults
       .filter(({ atMs }) => atMs <= now && atMs > now - stepMs)
-      .forEach((fault) => this.strike(fault, now));
+      .forEach((fault) => this.applyFault(fault, now));
     this.leases.forEach((endsAt, entry) => endsAt <= now && this.leases.delete(entry));
-    this.processes.forEach((_, entry) => this.turn(entry, now));
+    this.processes.forEach((_, entry) => this.stepEntry(entry, now));
   }
 
-  private strike({ kind, entry, forMs }: EntryFault, now: number): void {
+  private applyFault({ kind, entry, forMs }: EntryFault, now: number): void {
     this.processes.forEach((_, index) => {
       if (entry !== undefined && entry % this.processes.length !== index) return;
-      if (kind === 'cut') this.cutUntil[index] = now + forMs;
+      if (kind === 'cut') this.disconnectedUntil[index] = now + forMs;
       else {
         this.processes[index] = undefined;
         this.downUntil[index] = now + forMs + this.random.next() * pollMs;
@@ -72,10 +75,10 @@
     });
   }
 
-  private turn(entry: number, now: number): void {
+  private stepEntry(entry: number, now: number): void {
     if (now < this.downUntil[entry]!) return;
     this.processes[entry] ??= this.start(now);
-    if (now < this.cutUntil[entry]!) return;
+    if (now < this.disconnectedUntil[entry]!) return;
     const process = this.processes[entry];
     if (now >= process.nextRenewalAt) {
       this.leases.set(entry, now + leaseMs);
@@ -86,10 +89,10 @@
     process.nextPollAt = now + pollMs;
   }
 
-  private start(now: number): Process<Member> {
+  private start(now: number): Process<State> {
     const count = this.createCount();
     return {
-      member: this.createMember(count),
+      state: this.createState(count),
       count,
       nextPollAt: now + this.random.next() * pollMs,
       nextRenewalAt: now + this.random.next() * pollMs,
--- a/features/support/fairnessRun.ts
+++ b/features/support/fairnessRun.ts
@@ -1,34 +1,34 @@
 import { FairQueue } from '@laburnumstream/decisions';
 import type { Waiter } from '@laburnumstream/decisions';
 
-/** A request of a modelled workspace. */
-export interface ModelRequest extends Waiter {
+/** A simulated request of a workspace. */
+export interface SimulatedRequest extends Waiter {
   readonly arrivedAt: number;
   readonly durationMs: number;
 }
 
-interface Running {
-  readonly request: ModelRequest;
+interface RunningRequest {
+  readonly request: SimulatedRequest;
   readonly endsAt: number;
 }
 
 const tickMs = 1;
 
-/** An endpoint of a fixed limit behind a fair queue, in virtual time. */
-export class FairnessRun {
-  /** Waits until the start, by workspace, in milliseconds. */
+/** Simulates an endpoint with a fixed concurrency limit behind a fair queue, in virtual time. */
+export class FairnessSimulation {
+  /** Queueing times by workspace, in milliseconds. */
   readonly waits = new Map<string, number[]>();
 
-  /** Units started, by workspace. */
-  readonly served = new Map<string, number>();
+  /** Units of started requests, by workspace. */
+  readonly startedUnits = new Map<string, number>();
 
-  private readonly queue: FairQueue<ModelRequest>;
+  private readonly queue: FairQueue<SimulatedRequest>;
 
   private now = 0;
 
   private inFlight = 0;
 
-  private running: Running[] = [];
+  private running: RunningRequest[] = [];
 
   constructor(
     private readonly limit: number,
@@ -37,22 +37,22 @@
     this.queue = new FairQueue(weightOf);
   }
 
-  arrive(workspace: string, units: number, durationMs: number): ModelRequest {
+  arrive(workspace: string, units: number, durationMs: number): SimulatedRequest {
     const request = { workspace, units, durationMs, arrivedAt: this.now };
     this.queue.push(request);
     this.pump();
     return request;
   }
 
-  evict(newcomer: ModelRequest): ModelRequest {
+  evict(newcomer: SimulatedRequest): SimulatedRequest {
     return this.queue.evict(newcomer);
   }
 
   advance(ms: number): void {
     for (const until = this.now + ms; this.now < until; this.now += tickMs) {
-      const over = this.running.filter(({ endsAt }) => endsAt <= this.now);
+      const ended = this.running.filter(({ endsAt }) => endsAt <= this.now);
       this.running = this.running.filter(({ endsAt }) => endsAt > this.now);
-      over.forEach(({ request: { workspace, units } }) => {
+      ended.forEach(({ request: { workspace, units } }) => {
         this.inFlight -= units;
         this.queue.finish(workspace, units, units);
       });
@@ -70,12 +70,12 @@
     }
   }
 
-  private start(request: ModelRequest): void {
+  private start(request: SimulatedRequest): void {
     const { workspace, units, arrivedAt, durationMs } = request;
     this.queue.start(workspace, units, this.limit);
     this.inFlight += units;
     this.running.push({ request, endsAt: this.now + durationMs });
     this.waits.set(workspace, [...(this.waits.get(workspace) ?? []), this.now - arrivedAt]);
-    this.served.set(workspace, (this.served.get(workspace) ?? 0) + units);
+    this.startedUnits.set(workspace, (this.startedUnits.get(workspace) ?? 0) + units);
   }
 }
--- a/features/support/feedHistory.ts
+++ b/features/support/feedHistory.ts
@@ -6,47 +6,47 @@
 import { HistogramMetrics } from '@laburnumstream/runtime';
 import { VirtualClock } from '@laburnumstream/standins';
 import { platformBounds } from './platformBounds.js';
-import { SleepingClock } from './sleepingClock.js';
+import { SuspendableClock } from './sleepingClock.js';
 
-/** A span of a history in which calls of the store, or the instance, are in trouble. */
-export interface FeedFault {
+/** An interval in which store calls fail or are slow, or in which the instance is suspended. */
+export interface WatchFault {
   readonly kind:
-    'slowCalls' | 'slowPages' | 'slowAnswers' | 'refused' | 'silent' | 'historyLost' | 'sleep';
+    'slowCalls' | 'slowPages' | 'slowResponses' | 'refused' | 'silent' | 'historyLost' | 'sleep';
   readonly atMs: number;
   readonly forMs: number;
-  /** Delay of calls or answers that are slow, in milliseconds. */
+  /** Delay of slow calls, pages and responses, in milliseconds. */
   readonly delayMs: number;
 }
 
-/** What happens to one entry's feed. */
-export interface FeedHistory {
-  /** Times of changes of the configuration, which take the key away and give it back by turns. */
+/** The events that one entry's store watch is exposed to. */
+export interface WatchHistory {
+  /** Times of configuration changes, which alternately remove and restore the API key. */
   readonly changes: readonly number[];
-  readonly faults: readonly FeedFault[];
+  readonly faults: readonly WatchFault[];
 }
 
-/** What an entry was seen to do. */
-export interface FeedSights {
-  /** Times at which it was seen to honour the key, in milliseconds. */
+/** What was observed of an entry. */
+export interface WatchObservations {
+  /** Sampling times at which it honoured the key, in milliseconds. */
   readonly honouredAt: readonly number[];
-  /** Versions of the configuration in force, one after each change. */
+  /** Version of the configuration in force after each change of the entry's state. */
   readonly versions: readonly number[];
 }
 
 const prefix = 'configuration';
 const key = 'key';
-const travelMs = 2;
+const latencyMs = 2;
 const callTimeoutMs = 1_000;
-const lookMs = 50;
-const quiet = {
+const samplingMs = 50;
+const silentLog = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
 
-/** The value of the configuration that the change of number `version` makes; the first holds the key. */
-function valueOf(version: number): string {
+/** Encodes configuration `version`; odd versions, the first among them, contain the key. */
+function encodeConfiguration(version: number): string {
   return JSON.stringify({ version, holdsKey: version % 2 === 1 });
 }
 
@@ -65,22 +65,25 @@
   return { kind: 'configuration', configuration };
 }
 
-/** A store in virtual time that keeps one configuration, reached over calls in trouble. */
-class HistoryStore {
+/** Store in virtual time that holds one configuration; calls to it are subject to the faults. */
+class SimulatedStore {
   constructor(
-    private readonly history: FeedHistory,
+    private readonly history: WatchHistory,
     private readonly clock: VirtualClock,
-    private readonly instance: SleepingClock,
+    private readonly instance: SuspendableClock,
   ) {}
 
   async snapshot(_prefix: string, signal?: AbortSignal): Promise<StoreSnapshot> {
-    await this.travel('slowCalls', signal);
+    await this.delayCall('slowCalls', signal);
     const revision = this.revisionAt(this.clock.now());
-    // The list is no snapshot: its values may be newer than its revision.
-    await this.clock.sleep(this.faultAt('slowPages')?.delayMs ?? travelMs, signal);
+    // A paged list isn't a consistent snapshot: its values may be newer than its revision.
+    await this.clock.sleep(this.faultAt('slowPages')?.delayMs ?? latencyMs, signal);
     const version = this.revisionAt(this.clock.now());
-    await this.travel('slowAnswers', signal);
-    return { values: [{ key: prefix, value: valueOf(version), revision: version }], revision };
+    await this.delayCall('slowResponses', signal);
+    return {
+      values: [{ key: prefix, value: encodeConfiguration(version), revision: version }],
+      revision,
+    };
   }
 
   async changes(
@@ -89,55 +92,61 @@
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<StoreChanges> {
-    await this.travel('slowCalls', signal);
+    await this.delayCall('slowCalls', signal);
     if (this.faultAt('historyLost')) throw new HistoryLost('The history is gone.');
     const until = this.clock.now() + waitMs;
     while (this.revisionAt(this.clock.now()) <= after && this.clock.now() < until) {
-      await this.clock.sleep(lookMs, signal);
+      await this.clock.sleep(samplingMs, signal);
     }
     const revision = this.revisionAt(this.clock.now());
     const changes = Array.from({ length: Math.max(0, revision - after) }, (_, index) => ({
       key: prefix,
-      value: valueOf(after + index + 1),
+      value: encodeConfiguration(after + index + 1),
       revision: after + index + 1,
     }));
-    await this.travel('slowAnswers', signal);
+    await this.delayCall('slowResponses', signal);
     return { changes, revision };
   }
 
-  /** Number of the newest configuration at a time; the first one is there from the start. */
+  /** Revision of the store at a time; the first configuration exists from the start. */
   revisionAt(now: number): number {
     return 1 + this.history.changes.filter((at) => at <= now).length;
   }
 
-  private faultAt(kind: FeedFault['kind']): FeedFault | undefined {
+  private faultAt(kind: WatchFault['kind']): WatchFault | undefined {
     const now = this.clock.now();
     return this.history.faults.find(
       (fault) => fault.kind === kind && now >= fault.atMs && now < fault.atMs + fault.forMs,
     );
   }
 
-  /** The way of a call or of its answer. */
-  private async travel(slow: 'slowCalls' | 'slowAnswers', signal?: AbortSignal): Promise<void> {
+  /** Delays a call or its response by the network latency and the faults in force. */
+  private async delayCall(
+    slow: 'slowCalls' | 'slowResponses',
+    signal?: AbortSignal,
+  ): Promise<void> {
     if (this.faultAt('refused')) throw new StoreUnavailable('The store refuses calls.');
     const isLost = this.faultAt('silent') !== undefined;
-    const delayMs = this.faultAt(slow)?.delayMs ?? travelMs;
+    const delayMs = this.faultAt(slow)?.delayMs ?? latencyMs;
     await this.clock.sleep(isLost ? callTimeoutMs : Math.min(delayMs, callTimeoutMs), signal);
-    await this.instance.awake(signal);
+    await this.instance.waitUntilResumed(signal);
     if (isLost || delayMs >= callTimeoutMs) throw new StoreUnavailable('The store is silent.');
   }
 }
 
-/** Runs the feed of one entry through a history; returns what the entry was seen to do. */
-export async function runFeedHistory(history: FeedHistory, lengthMs: number): Promise<FeedSights> {
+/** Runs the store watch of one entry through a history and samples whether the key is honoured. */
+export async function runWatchHistory(
+  history: WatchHistory,
+  lengthMs: number,
+): Promise<WatchObservations> {
   const clock = new VirtualClock();
-  const sleeps = history.faults
+  const suspensions = history.faults
     .filter(({ kind }) => kind === 'sleep')
     .sort((one, other) => one.atMs - other.atMs);
-  const instance = new SleepingClock(clock, sleeps);
+  const instance = new SuspendableClock(clock, suspensions);
   const metrics = new HistogramMetrics();
   const versions: number[] = [];
-  const state: FleetState = new FleetState(metrics, quiet, () => {
+  const state: FleetState = new FleetState(metrics, silentLog, () => {
     versions.push(state.routes?.configuration.version ?? 0);
   });
   const proof = new ConfigurationProof(
@@ -146,9 +155,9 @@
   );
   const proofClock = new SleepAwareClock(instance);
   const codec = { prefix, entryKey: () => '', encodeEntry: () => '', decode };
-  const store = new HistoryStore(history, clock, instance);
+  const store = new SimulatedStore(history, clock, instance);
   const { versionMs } = platformBounds;
-  const feed = new FleetWatcher(
+  const watcher = new FleetWatcher(
     store,
     codec,
     state,
@@ -156,15 +165,15 @@
     proofClock,
     instance,
     metrics,
-    quiet,
+    silentLog,
     versionMs,
   );
   const abort = new AbortController();
-  void feed.run(abort.signal);
+  void watcher.run(abort.signal);
   const honouredAt: number[] = [];
-  for (let at = lookMs; at <= lengthMs; at += lookMs) {
+  for (let at = samplingMs; at <= lengthMs; at += samplingMs) {
     await clock.runUntil(at);
-    if (instance.sleepEndAt(at) !== undefined) continue;
+    if (instance.suspensionEndAt(at) !== undefined) continue;
     const honoursKey =
       state.routes?.workspaceOf(key) !== undefined && proof.mayHonour(proofClock.now());
     if (honoursKey) honouredAt.push(at);
--- a/features/support/fuzzInputs.ts
+++ b/features/support/fuzzInputs.ts
@@ -1,17 +1,17 @@
 import fc from 'fast-check';
 
-/** Values of JSON with a bias to the borders of numbers and texts. */
+/** JSON values, with a bias to boundary values of numbers and strings. */
 export const anyJson = fc.oneof(
   fc.jsonValue(),
   fc.constantFrom(null, 0, -1, 2 ** 53, 1e308, '', '\u0000', [], {}),
 );
 
-/** Objects with some of the given keys and any values. */
+/** Objects with a random subset of the given keys and arbitrary JSON values. */
 export function objectsWith(keys: readonly string[]): fc.Arbitrary<Record<string, unknown>> {
   return fc.dictionary(fc.constantFrom(...keys), anyJson);
 }
 
-/** Texts that are JSON of the given values, sometimes cut or with a byte changed. */
+/** JSON texts of the given values, some of them truncated or with one character replaced. */
 export function damagedJson(values: fc.Arbitrary<unknown>): fc.Arbitrary<string> {
   return fc
     .tuple(values, fc.nat(), fc.constantFrom('whole', 'cut', 'changed'))
@@ -24,7 +24,11 @@
     });
 }
 
-/** A repeatable list of inputs. */
-export function inputs<Value>(arbitrary: fc.Arbitrary<Value>, count: number, seed = 1): Value[] {
+/** Samples inputs; the same seed gives the same list. */
+export function sampleInputs<Value>(
+  arbitrary: fc.Arbitrary<Value>,
+  count: number,
+  seed = 1,
+): Value[] {
   return fc.sample(arbitrary, { numRuns: count, seed });
 }
--- a/features/support/grownFleet.ts
+++ b/features/support/grownFleet.ts
@@ -3,46 +3,46 @@
 import { EndpointDirectory, FleetState, EntryCounts } from '@laburnumstream/forwarding';
 import type { Eligibility } from '@laburnumstream/forwarding';
 import { VirtualClock } from '@laburnumstream/standins';
-import { CountedRegions } from './countedRegions.js';
+import { CountingRegionMap } from './countedRegions.js';
 import { platformBounds } from './platformBounds.js';
 
-/** A log that is not read. */
-export const quietLog: Log = {
+/** Log that discards its lines. */
+export const noopLog: Log = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
 
-/** Metrics that are not read. */
-export const noMetrics: Metrics = {
+/** Metrics that discard their values. */
+export const noopMetrics: Metrics = {
   count: () => undefined,
   gauge: () => undefined,
   observe: () => undefined,
   sample: () => undefined,
 };
 
-/** A request that any endpoint may serve. */
-export const anywhere: Eligibility = { homeRegions: [], tried: new Set() };
+/** Eligibility of a request that any endpoint may serve. */
+export const anyEndpoint: Eligibility = { homeRegions: [], tried: new Set() };
 
 /** The service of all endpoints. */
-export const grownService = 'desk';
+export const testService = 'desk';
 
 const dataCentres = ['a', 'b', 'c', 'd', 'e', 'f'] as const;
 
-/** Data centre of the entry or endpoint with a number: they are dealt out in turn. */
-function dataCentreOf(index: number): string {
+/** Returns the data centre of an entry or endpoint; indices are assigned round-robin. */
+function getDataCentre(index: number): string {
   return dataCentres[index % dataCentres.length]!;
 }
 
-/** An endpoint of a plain service. */
-export function grownEndpoint(index: number): Endpoint {
+/** Creates the registration of an endpoint of a plain service. */
+export function createEndpoint(index: number): Endpoint {
   return {
     id: `e${index}`,
     bornAt: 1,
-    service: grownService,
+    service: testService,
     address: `10.1.${Math.floor(index / 250)}.${index % 250}:80`,
-    dataCentre: dataCentreOf(index),
+    dataCentre: getDataCentre(index),
     slots: 8,
     isDraining: false,
     coldLeftMs: 0,
@@ -50,9 +50,9 @@
   };
 }
 
-/** What one entry knows of a fleet with many entries and endpoints in two regions. */
-export class GrownFleet {
-  readonly regions = new CountedRegions(
+/** The fleet state and endpoint directory of one entry in a large fleet that spans two regions. */
+export class LargeFleet {
+  readonly regions = new CountingRegionMap(
     dataCentres.map((name, index) => [name, index < dataCentres.length / 2 ? 'r1' : 'r2']),
   );
 
@@ -78,13 +78,13 @@
       isFirstStart: true,
       bounds: platformBounds,
     };
-    this.state = new FleetState(noMetrics, quietLog, () => undefined);
+    this.state = new FleetState(noopMetrics, noopLog, () => undefined);
     for (let index = 0; index < entries; index += 1) {
       const host = `10.0.${Math.floor(index / 250)}.${index % 250}`;
-      this.state.setEntry(`front-${index}`, { host, dataCentre: dataCentreOf(index) });
+      this.state.setEntry(`front-${index}`, { host, dataCentre: getDataCentre(index) });
     }
     for (let index = 0; index < endpoints; index += 1) {
-      this.state.setEndpoint(grownEndpoint(index));
+      this.state.setEndpoint(createEndpoint(index));
     }
     const random = new SeededRandom(1);
     const sharing = new EntryCounts(this.state, settings, this.clock);
@@ -92,7 +92,7 @@
       settings,
       this.state,
       this.clock,
-      noMetrics,
+      noopMetrics,
       random,
       sharing,
     );
--- a/features/support/holder.ts
+++ b/features/support/holder.ts
@@ -2,8 +2,8 @@
 import type { Configuration } from '@laburnumstream/decisions';
 import type { ConfigurationHolder } from '@laburnumstream/entry';
 
-/** Holds a configuration as an entry does, without peers. */
-export class Holder implements ConfigurationHolder {
+/** Keeps the newest adopted configuration as an entry does, without distributing it to peers. */
+export class InMemoryConfigurationHolder implements ConfigurationHolder {
   configuration: Configuration = emptyConfiguration;
 
   document = '{}';
--- a/features/support/knownRed.ts
+++ b/features/support/knownRed.ts
@@ -1,6 +1,6 @@
 const entryStart = 'test: ';
 
-/** The names of the scenarios that KNOWN-RED.txt lists. */
+/** Parses KNOWN-RED.txt; returns the scenarios that it lists, as "FEATURE: SCENARIO". */
 export function readKnownRed(text: string): string[] {
   return text
     .split('\n')
--- a/features/support/members.ts
+++ b/features/support/members.ts
@@ -2,8 +2,11 @@
 import { EndpointLoadSchema, MemberSchema } from '@laburnumstream/protocol';
 import type { Member } from '@laburnumstream/protocol';
 
-/** A member's heartbeat with the given fields. */
-export function memberOf(name: string, fields: Partial<Omit<Member, '$typeName'>> = {}): Member {
+/** Creates a member's heartbeat; `fields` override the defaults. */
+export function createMember(
+  name: string,
+  fields: Partial<Omit<Member, '$typeName'>> = {},
+): Member {
   return create(MemberSchema, {
     name,
     role: 'agent',
--- a/features/support/pieceSource.ts
+++ b/features/support/pieceSource.ts
@@ -1,22 +1,23 @@
 import type { PieceManifest, PieceOrigin } from '@laburnumstream/sidecar';
-import { contentOf, digestOf, testVersion } from './stagingEngine.js';
+import { getPieceContent, sha256Hex, testVersion } from './stagingEngine.js';
 
-/** An origin that may give wrong bytes. */
-export class PieceSource implements PieceOrigin {
-  wrongEach = Infinity;
+/** Origin that can return corrupt pieces. */
+export class FaultyPieceOrigin implements PieceOrigin {
+  /** Each read whose number is a multiple of this returns corrupt bytes. */
+  corruptEvery = Infinity;
 
   private reads = 0;
 
   getManifest(_address: string, name: string, version: number): Promise<PieceManifest> {
     const digests = Array.from({ length: testVersion.pieces }, (_, piece) =>
-      digestOf(contentOf(version, piece)),
+      sha256Hex(getPieceContent(version, piece)),
     );
     return Promise.resolve({ model: name, version, digests });
   }
 
   getPiece(_address: string, _model: string, version: number, piece: number): Promise<Uint8Array> {
     this.reads += 1;
-    const isWrong = this.reads % this.wrongEach === 0;
-    return Promise.resolve(isWrong ? Buffer.from('wrong') : contentOf(version, piece));
+    const isCorrupt = this.reads % this.corruptEvery === 0;
+    return Promise.resolve(isCorrupt ? Buffer.from('wrong') : getPieceContent(version, piece));
   }
 }
--- a/features/support/platformBounds.ts
+++ b/features/support/platformBounds.ts
@@ -1,6 +1,6 @@
 import type { FleetBounds } from '@laburnumstream/common';
 
-/** Bounds of the platform that tests run with; short ones where tests wait for them. */
+/** Bounds of the platform in tests; those that tests wait for are short. */
 export const platformBounds: FleetBounds = {
   shutdownMs: 4_000,
   drainMs: 2_000,
--- a/features/support/platformCaller.ts
+++ b/features/support/platformCaller.ts
@@ -5,27 +5,27 @@
 import { platformHost } from './platformFleet.js';
 import type { PlatformFleet } from './platformFleet.js';
 
-/** What a caller got. */
-export interface Got {
+/** A response as its caller received it. */
+export interface CallerResponse {
   readonly status: number;
   readonly body: string;
   readonly isWhole: boolean;
   readonly headers: IncomingMessage['headers'];
 }
 
-/** Time that callers wait, in milliseconds. */
+/** Deadline that callers send with each request, in milliseconds. */
 export const deadlineMs = 2_000;
 
-let ids = 0;
+let lastRequestId = 0;
 
-/** Sends a request with a key and reads the answer. */
-export function ask(
+/** Sends a request with an API key and reads the response; `leave` aborts it. */
+export function sendRequest(
   { settings }: PlatformFleet,
   path: string,
   key = 'key-1',
   leave?: AbortSignal,
-): Promise<Got> {
-  ids += 1;
+): Promise<CallerResponse> {
+  lastRequestId += 1;
   const [host, port] = settings.callers.split(':');
   return new Promise((resolve, reject) => {
     const sent = httpRequest(
@@ -38,7 +38,7 @@
         headers: {
           host: platformHost,
           authorization: `Bearer ${key}`,
-          'laburnumstream-request-id': `r${ids}`,
+          'laburnumstream-request-id': `r${lastRequestId}`,
           'laburnumstream-deadline-ms': String(deadlineMs),
           'content-length': '4',
         },
@@ -65,20 +65,20 @@
   });
 }
 
-/** Opens a connection to the entry and sends raw bytes after the head of a request with a key. */
+/** Opens a connection to the entry and writes a raw request: request line, headers and body. */
 export function sendRaw(
   { settings }: PlatformFleet,
   request: string,
   headers: readonly string[],
   body: string,
 ): Socket {
-  ids += 1;
+  lastRequestId += 1;
   const [host, port] = settings.callers.split(':');
   const lines = [
     request,
     `Host: ${platformHost}`,
     'Authorization: Bearer key-1',
-    `Laburnumstream-Request-Id: r${ids}`,
+    `Laburnumstream-Request-Id: r${lastRequestId}`,
     `Laburnumstream-Deadline-Ms: ${deadlineMs}`,
     ...headers,
   ];
--- a/features/support/platformFleet.ts
+++ b/features/support/platformFleet.ts
@@ -8,8 +8,8 @@
 import type { Behaviour } from '@laburnumstream/standins';
 import { platformBounds } from './platformBounds.js';
 
-/** A line of the entry's log. */
-export interface LoggedLine {
+/** A recorded log line of the entry. */
+export interface LogEntry {
   readonly message: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
@@ -17,7 +17,7 @@
 const host = 'desk.example';
 const timeoutMs = 2_500;
 
-function routeOf(name: string, kind: string, attempts: number): object {
+function createRoute(name: string, kind: string, attempts: number): object {
   return {
     Name: name,
     Host: host,
@@ -32,15 +32,15 @@
   };
 }
 
-/** The operators' configuration of the tests. */
-export function configurationOf(version: number, keys: readonly string[]): object {
+/** Creates the operators' configuration, as stored under `op/config`. */
+export function createConfiguration(version: number, keys: readonly string[]): object {
   return {
     Version: version,
     Routes: [
-      routeOf('safe', 'safe', 2),
-      routeOf('unsafe', 'unsafe', 1),
-      routeOf('stream', 'stream', 2),
-      routeOf('single', 'stream', 1),
+      createRoute('safe', 'safe', 2),
+      createRoute('unsafe', 'unsafe', 1),
+      createRoute('stream', 'stream', 2),
+      createRoute('single', 'stream', 1),
     ],
     Services: [{ Name: 'desk', MaxConns: 100 }],
     Limits: {
@@ -53,9 +53,9 @@
   };
 }
 
-/** The same with a service of a model, which has a version of the weights. */
-export function modelConfiguration(version: number): object {
-  const { Services, ...rest } = configurationOf(version, ['key-1']) as { Services: object[] };
+/** Like `createConfiguration`, with an additional model service, whose weights have versions. */
+export function createModelConfiguration(version: number): object {
+  const { Services, ...rest } = createConfiguration(version, ['key-1']) as { Services: object[] };
   const engine = {
     Slots: 16,
     KvCapacity: 685_000,
@@ -74,7 +74,7 @@
   return { ...rest, Services: [...Services, { Name: 'model', MaxConns: 100, Engine: engine }] };
 }
 
-async function settingsOf(store: string): Promise<ForwarderSettings> {
+async function createSettings(store: string): Promise<ForwarderSettings> {
   const [callers, readiness, first] = await freePorts(3);
   return {
     instance: 'front-1',
@@ -93,9 +93,9 @@
   };
 }
 
-/** One entry on a store and engines that speak as the users' platform does. */
+/** One entry with a store and engines that implement the users' platform's protocols. */
 export class PlatformFleet {
-  readonly lines: LoggedLine[] = [];
+  readonly logEntries: LogEntry[] = [];
 
   readonly metrics = new HistogramMetrics();
 
@@ -112,9 +112,9 @@
     const engines = await Promise.all(
       behaviours.map((behaviour, index) => PlatformEngine.start(`e${index}`, behaviour)),
     );
-    const fleet = new PlatformFleet(store, engines, await settingsOf(store.address));
-    store.write('op/config', configurationOf(1, ['key-1']));
-    engines.forEach((engine) => fleet.register(engine, 'ready'));
+    const fleet = new PlatformFleet(store, engines, await createSettings(store.address));
+    store.write('op/config', createConfiguration(1, ['key-1']));
+    engines.forEach((engine) => fleet.registerEngine(engine, 'ready'));
     return fleet;
   }
 
@@ -122,8 +122,8 @@
   async startEntry(): Promise<ForwardingEntry> {
     const write =
       (part: string) =>
-      (message: string, fields: LoggedLine['fields'] = {}): void => {
-        this.lines.push({ message: `${part}: ${message}`, fields });
+      (message: string, fields: LogEntry['fields'] = {}): void => {
+        this.logEntries.push({ message: `${part}: ${message}`, fields });
       };
     const entry = new ForwardingEntry({
       settings: this.settings,
@@ -142,8 +142,8 @@
     return entry;
   }
 
-  /** An engine's registration. */
-  register(engine: PlatformEngine, state: 'ready' | 'draining'): void {
+  /** Writes an engine's registration to the store. */
+  registerEngine(engine: PlatformEngine, state: 'ready' | 'draining'): void {
     this.store.write(`servers/${engine.id}`, {
       Service: 'desk',
       Address: engine.address,
@@ -161,5 +161,5 @@
   }
 }
 
-/** The host of all routes. */
+/** Host name of all routes. */
 export const platformHost = host;
--- a/features/support/proofTable.ts
+++ b/features/support/proofTable.ts
@@ -2,31 +2,31 @@
 export interface ProofRow {
   readonly point: string;
   readonly mechanism: string;
-  /** Files of the mechanism, from the root of the repository. */
+  /** Source files of the mechanism, relative to the root of the repository. */
   readonly files: readonly string[];
-  /** Feature and scenario names. */
+  /** Scenarios, as "FEATURE: SCENARIO". */
   readonly tests: readonly string[];
   readonly failedFirst: string;
-  /** Names of the benches that give the figure. */
+  /** Names of the benches that measure `figure`. */
   readonly benches: readonly string[];
   readonly figure: string;
   readonly state: string;
 }
 
-/** What a row may claim. */
+/** Allowed values of `ProofRow.state`. */
 export const proofStates: readonly string[] = ['proved', 'partly', 'not proved'];
 
 const columns = 8;
 
-function list(cell: string): string[] {
+function splitCell(cell: string): string[] {
   return cell
     .split('<br>')
     .map((item) => item.trim().replace(/^`|`$/g, ''))
     .filter((item) => item !== '' && item !== '-');
 }
 
-/** Reads the tables of docs/PROOF.md. */
-export function proofRows(text: string): ProofRow[] {
+/** Parses the tables of docs/PROOF.md. */
+export function parseProofRows(text: string): ProofRow[] {
   return text
     .split('\n')
     .filter((line) => line.startsWith('|') && !/^\|[\s|-]+\|$/.test(line))
@@ -40,10 +40,10 @@
     .map(([point, mechanism, files, tests, failedFirst, benches, figure, state]) => ({
       point: point!,
       mechanism: mechanism!,
-      files: list(files!),
-      tests: list(tests!),
+      files: splitCell(files!),
+      tests: splitCell(tests!),
       failedFirst: failedFirst!,
-      benches: list(benches!),
+      benches: splitCell(benches!),
       figure: figure!,
       state: state!,
     }));
--- a/features/support/results.ts
+++ b/features/support/results.ts
@@ -1,6 +1,6 @@
-/** The outcome of one scenario. */
+/** Result of one scenario. */
 export interface ScenarioResult {
-  /** Feature and scenario name. */
+  /** "FEATURE: SCENARIO" */
   readonly name: string;
   readonly passed: boolean;
 }
@@ -14,8 +14,8 @@
   readonly elements: readonly { readonly name: string; readonly steps: readonly ReportedStep[] }[];
 }
 
-/** Reads cucumber's JSON report. */
-export function scenarioResults(report: string): ScenarioResult[] {
+/** Parses Cucumber's JSON report. */
+export function parseScenarioResults(report: string): ScenarioResult[] {
   const features = JSON.parse(report) as ReportedFeature[];
   return features.flatMap((feature) =>
     feature.elements.map(({ name, steps }) => ({
--- a/features/support/scriptedAnswers.ts
+++ b/features/support/scriptedAnswers.ts
@@ -1,8 +1,8 @@
 import type { Socket } from 'node:net';
 
-/** How an answer tells its end, with the part of its body that comes first and the rest. */
-export interface ScriptedFraming {
-  /** Headers of the answer. */
+/** Framing headers of a response, and its body split into what is sent first and the remainder. */
+export interface ResponseFraming {
+  /** Header lines that frame the response, without the last line break. */
   readonly head: string;
   readonly part: string;
   readonly rest: string;
@@ -11,11 +11,11 @@
 const chunkParts = { part: '5\r\nfirst\r\n', rest: '5\r\nother\r\n0\r\n\r\n' } as const;
 const plainParts = { part: 'first', rest: 'other' } as const;
 
-/** The body of each whole answer. */
+/** The decoded body of each complete response. */
 export const wholeBody = 'firstother';
 
-/** Heads and bodies of answers, by how they tell their end. */
-export const framings: Readonly<Record<string, ScriptedFraming>> = {
+/** Framings by the names that step texts use. */
+export const framings: Readonly<Record<string, ResponseFraming>> = {
   'a length': { head: 'Content-Length: 10', ...plainParts },
   'a length before close': { head: 'Content-Length: 10\r\nConnection: close', ...plainParts },
   chunks: { head: 'Transfer-Encoding: chunked', ...chunkParts },
@@ -28,38 +28,47 @@
   'another coding': { head: 'Transfer-Encoding: gzip', ...plainParts },
 };
 
-/** Framings whose answers end with their connection. */
-export const unframed: readonly string[] = ['neither', 'neither and no close', 'another coding'];
+/** Names of the framings whose bodies end when the connection closes. */
+export const closeDelimited: readonly string[] = [
+  'neither',
+  'neither and no close',
+  'another coding',
+];
 
-/** Ends the connection of an answer of which the first part was sent. */
-export type ScriptedEnding = (socket: Socket, rest: string) => void;
+/** Ends a response of which the first part was sent. */
+export type ResponseEnding = (socket: Socket, rest: string) => void;
 
-/** Time in which the first part of an answer arrives by itself, in milliseconds. */
-const partMs = 30;
-/** Pieces of an answer that is reset after many of them. */
-const pieces = 64;
+/** Delay that lets the first part arrive separately, in milliseconds. */
+const firstPartDelayMs = 30;
+/** Writes before the reset of "a reset after many pieces". */
+const piecesBeforeReset = 64;
 
-const later =
-  (ending: ScriptedEnding): ScriptedEnding =>
+const delayed =
+  (ending: ResponseEnding): ResponseEnding =>
   (socket, rest) => {
-    setTimeout(() => ending(socket, rest), partMs);
+    setTimeout(() => ending(socket, rest), firstPartDelayMs);
   };
 
-/** Ends of answers. */
-export const endings: Readonly<Record<string, ScriptedEnding>> = {
-  'all bytes': later((socket, rest) => socket.write(rest)),
-  'a close': later((socket, rest) => socket.end(rest)),
-  'a close before the end': later((socket) => socket.end()),
-  'a reset before the end': later((socket) => socket.resetAndDestroy()),
+/** Response endings by the names that step texts use. */
+export const endings: Readonly<Record<string, ResponseEnding>> = {
+  'all bytes': delayed((socket, rest) => socket.write(rest)),
+  'a close': delayed((socket, rest) => socket.end(rest)),
+  'a close before the end': delayed((socket) => socket.end()),
+  'a reset before the end': delayed((socket) => socket.resetAndDestroy()),
   'a reset at once': (socket) => socket.resetAndDestroy(),
   'a reset after many pieces': (socket) => {
-    for (let piece = 0; piece < pieces; piece += 1) socket.write(plainParts.part);
+    for (let piece = 0; piece < piecesBeforeReset; piece += 1) socket.write(plainParts.part);
     setImmediate(() => socket.resetAndDestroy());
   },
 };
 
-/** Answers one request on a connection. */
-export function sendScripted(socket: Socket, framing: string, ending: string, id?: string): void {
+/** Sends one scripted response; `id` is echoed as the request id unless it is undefined. */
+export function sendScriptedResponse(
+  socket: Socket,
+  framing: string,
+  ending: string,
+  id?: string,
+): void {
   const { head, part, rest } = framings[framing]!;
   const idLine = id === undefined ? '' : `Laburnumstream-Request-Id: ${id}\r\n`;
   socket.write(`HTTP/1.1 200 OK\r\n${idLine}${head}\r\n\r\n${part}`);
--- a/features/support/scriptedEndpoint.ts
+++ b/features/support/scriptedEndpoint.ts
@@ -1,10 +1,10 @@
 import { createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 
-/** How an endpoint answers one request on a connection. */
+/** Responds to one request on a connection; `request` is its bytes as Latin-1. */
 export type Script = (socket: Socket, request: string) => void;
 
-/** An endpoint that answers each request with scripted bytes. */
+/** TCP server that responds to each request with scripted bytes. */
 export class ScriptedEndpoint {
   private readonly sockets = new Set<Socket>();
 
--- a/features/support/sleepingClock.ts
+++ b/features/support/sleepingClock.ts
@@ -1,40 +1,40 @@
 import type { Clock } from '@laburnumstream/common';
 import type { VirtualClock } from '@laburnumstream/standins';
 
-/** A span in which an instance stands still. */
-export interface Sleep {
+/** An interval in which an instance is suspended. */
+export interface Suspension {
   readonly atMs: number;
   readonly forMs: number;
 }
 
-/** A clock whose instance stands still in spans: its monotonic time stops and its timers wait. */
-export class SleepingClock implements Clock {
+/** Clock of an instance that is suspended at times: monotonic time stops and timers are deferred. */
+export class SuspendableClock implements Clock {
   constructor(
     private readonly clock: VirtualClock,
-    /** Spans of sleep by their beginnings. */
-    private readonly sleeps: readonly Sleep[],
+    /** Sorted by start. */
+    private readonly suspensions: readonly Suspension[],
   ) {}
 
   now(): number {
     const now = this.clock.now();
-    let sleptMs = 0;
-    let sleptUntil = 0;
-    this.sleeps.forEach(({ atMs, forMs }) => {
-      const from = Math.max(atMs, sleptUntil);
+    let suspendedMs = 0;
+    let suspendedUntil = 0;
+    this.suspensions.forEach(({ atMs, forMs }) => {
+      const from = Math.max(atMs, suspendedUntil);
       const until = Math.min(atMs + forMs, now);
-      sleptMs += Math.max(0, until - from);
-      sleptUntil = Math.max(sleptUntil, until);
+      suspendedMs += Math.max(0, until - from);
+      suspendedUntil = Math.max(suspendedUntil, until);
     });
-    return now - sleptMs;
+    return now - suspendedMs;
   }
 
   wall(): number {
     return this.clock.wall();
   }
 
-  /** End of the span in which the instance sleeps at a time; undefined when it is awake. */
-  sleepEndAt(at: number): number | undefined {
-    const ends = this.sleeps
+  /** End of the suspension that covers `at`; undefined when the instance runs then. */
+  suspensionEndAt(at: number): number | undefined {
+    const ends = this.suspensions
       .filter(({ atMs, forMs }) => at >= atMs && at < atMs + forMs)
       .map(({ atMs, forMs }) => atMs + forMs);
     return ends.length > 0 ? Math.max(...ends) : undefined;
@@ -42,12 +42,13 @@
 
   async sleep(ms: number, signal?: AbortSignal): Promise<void> {
     await this.clock.sleep(ms, signal);
-    await this.awake(signal);
+    await this.waitUntilResumed(signal);
   }
 
-  async awake(signal?: AbortSignal): Promise<void> {
+  /** Waits until the instance isn't suspended. */
+  async waitUntilResumed(signal?: AbortSignal): Promise<void> {
     for (;;) {
-      const end = this.sleepEndAt(this.clock.now());
+      const end = this.suspensionEndAt(this.clock.now());
       if (end === undefined) return;
       await this.clock.sleep(end - this.clock.now(), signal);
     }
--- a/features/support/spreadHistory.ts
+++ b/features/support/spreadHistory.ts
@@ -1,15 +1,18 @@
 import { revertsOf } from '@laburnumstream/bench';
 import type { VirtualFleet } from '@laburnumstream/bench';
-import type { Told } from './changeHistory.js';
+import type { ChangeOutcome } from './changeHistory.js';
 
 /**
- * Faults of a run after everything has healed: processes that went back, and accepted changes that
- * are not in force in a living process.
+ * Finds violations after all injected faults of a run have ended: processes whose revision went
+ * back, and accepted changes that a live process has not applied.
  */
-export function faultsOfSpread(fleet: VirtualFleet, told: readonly Told[]): string[] {
+export function findSpreadFaults(
+  fleet: VirtualFleet,
+  outcomes: readonly ChangeOutcome[],
+): string[] {
   const reverts = fleet.histories.reduce((sum, history) => sum + revertsOf(history), 0);
   const faults = reverts > 0 ? [`${reverts} reverts`] : [];
-  const accepted = told.flatMap(({ changeId, outcome }) =>
+  const accepted = outcomes.flatMap(({ changeId, outcome }) =>
     typeof outcome === 'number' ? [{ changeId, revision: outcome }] : [],
   );
   const newest = Math.max(0, ...accepted.map(({ revision }) => revision));
--- a/features/support/stagingEngine.ts
+++ b/features/support/stagingEngine.ts
@@ -2,33 +2,34 @@
 import { NotFound } from '@laburnumstream/common';
 import type { EngineState, LocalEngine } from '@laburnumstream/sidecar';
 
-/** Shape of the versions of the tests. */
+/** Number of pieces and layers of each version in tests. */
 export const testVersion = { pieces: 12, layers: 4 } as const;
 
-/** The right bytes of a piece. */
-export function contentOf(version: number, piece: number): Buffer {
+/** Returns the correct bytes of a piece. */
+export function getPieceContent(version: number, piece: number): Buffer {
   return Buffer.from(`version ${version} piece ${piece} `.repeat(20));
 }
 
-/** SHA-256 in hex. */
-export function digestOf(bytes: Uint8Array): string {
+/** Returns the SHA-256 digest in hexadecimal. */
+export function sha256Hex(bytes: Uint8Array): string {
   return createHash('sha256').update(bytes).digest('hex');
 }
 
-/** An engine that keeps what is staged, and may spoil it. */
+/** Engine that stores staged pieces and can corrupt them. */
 export class StagingEngine implements LocalEngine {
   readonly staged = new Map<number, Uint8Array>();
 
-  /** Versions that it was ordered to load, and whether every piece was right at that moment. */
+  /** Load orders in sequence; `isRight` tells whether all staged pieces were correct at that moment. */
   readonly orders: { readonly version: number; readonly isRight: boolean }[] = [];
 
   bornAt = 1;
 
-  spoilsEach = Infinity;
+  /** Each staged piece whose number is a multiple of this is corrupted. */
+  corruptEvery = Infinity;
 
   private version = 0;
 
-  private puts = 0;
+  private stageCalls = 0;
 
   restart(): void {
     this.bornAt += 1;
@@ -59,9 +60,9 @@
   }
 
   stagePiece(_model: string, piece: number, bytes: Uint8Array): Promise<void> {
-    this.puts += 1;
-    const isSpoilt = this.puts % this.spoilsEach === 0;
-    this.staged.set(piece, isSpoilt ? Buffer.from('spoilt') : bytes);
+    this.stageCalls += 1;
+    const isCorrupt = this.stageCalls % this.corruptEvery === 0;
+    this.staged.set(piece, isCorrupt ? Buffer.from('spoilt') : bytes);
     return Promise.resolve();
   }
 
@@ -69,7 +70,9 @@
     const isRight = Array.from({ length: testVersion.pieces }, (_, piece) => piece).every(
       (piece) => {
         const bytes = this.staged.get(piece);
-        return bytes !== undefined && digestOf(bytes) === digestOf(contentOf(version, piece));
+        return (
+          bytes !== undefined && sha256Hex(bytes) === sha256Hex(getPieceContent(version, piece))
+        );
       },
     );
     this.orders.push({ version, isRight });
--- a/features/support/visits.ts
+++ b/features/support/visits.ts
@@ -1,11 +1,11 @@
 type AnyMap = Map<unknown, unknown>;
 
-/** The methods of all maps, which are wrapped while visits are counted. */
-const methods = Object.getPrototypeOf(new Map()) as AnyMap;
+/** Prototype of all maps, whose iteration methods are wrapped while visits are counted. */
+const mapPrototype = Object.getPrototypeOf(new Map()) as AnyMap;
 
-/** Counts the entries of maps that are visited while `work` runs, by `forEach` or by iteration. */
-export function countVisits(work: () => void): number {
-  const { forEach, entries } = methods;
+/** Counts the map entries that are visited while `action` runs, by `forEach` or by iteration. */
+export function countVisits(action: () => void): number {
+  const { forEach, entries } = mapPrototype;
   let visits = 0;
   const counting = {
     forEach(this: AnyMap, visit: (value: unknown, key: unknown) => void): void {
@@ -23,11 +23,11 @@
       return undefined;
     },
   };
-  Object.assign(methods, { forEach: counting.forEach, [Symbol.iterator]: counting.entries });
+  Object.assign(mapPrototype, { forEach: counting.forEach, [Symbol.iterator]: counting.entries });
   try {
-    work();
+    action();
   } finally {
-    Object.assign(methods, { forEach, [Symbol.iterator]: entries });
+    Object.assign(mapPrototype, { forEach, [Symbol.iterator]: entries });
   }
   return visits;
 }
