--- a/features/growth.feature
+++ b/features/growth.feature
@@ -19,7 +19,7 @@
     When 20 requests wait for 700 endpoints and one of them gets room
     Then each request was compared with that endpoint only, and one was placed
 
-  # Guards against requests that are sent to an endpoint after it has left.
+  # A slot that is freed at an endpoint after it has left the fleet must not receive a queued request.
   Scenario: room at an endpoint that is gone
     When one of 40 endpoints leaves while it runs a request, and the request ends
     Then no waiting request is placed there
--- a/features/steps/admission.steps.ts
+++ b/features/steps/admission.steps.ts
@@ -12,8 +12,8 @@
 
 const seed = 5;
 const runCount = 400;
-/** Later than any history of these tests, in milliseconds. */
-const afterAllHistories = 10_000_000;
+/** Start of the idle time, later than the end of any history in these tests, in milliseconds. */
+const idleFromMs = 10_000_000;
 const stepCount = { minLength: 20, maxLength: 120 };
 
 interface AdmissionWorld {
@@ -109,7 +109,7 @@
 When(
   'the endpoint is idle for {int} seconds',
   function idle(this: AdmissionWorld, seconds: number) {
-    this.admissionLimit.start(1, afterAllHistories + seconds * 1_000);
+    this.admissionLimit.start(1, idleFromMs + seconds * 1_000);
   },
 );
 
@@ -177,7 +177,7 @@
   originRegion: 'north',
 };
 
-/** Keeps `count` requests in flight over all entries until `isDone`. */
+/** Keeps `count` requests in flight, spread over all entries, until `isDone` returns true. */
 async function keepBusy(fleet: Fleet, count: number, isDone: () => boolean): Promise<Seen[]> {
   const callers = fleet.entries.map((entry) => new Caller(entry.callers));
   const seen: Seen[] = [];
--- a/features/steps/answerReview.steps.ts
+++ b/features/steps/answerReview.steps.ts
@@ -19,32 +19,31 @@
   reviewedFleet: PlatformFleet;
   reviewedEntry: ForwardingEntry;
   got: CallerResponse | undefined;
-  /** Whether the entry had stopped while its caller had not read the answer. */
+  /** Whether the entry stopped although its caller had not read the response. */
   hasStopped: boolean;
 }
 
-/** How the engine of a fleet deals with one request. */
+/** How an engine handles a request. */
 type EngineBehaviour = Parameters<typeof PlatformFleet.start>[0][number];
 
 const refusalResponse =
   'HTTP/1.1 503 Full\r\nLaburnumstream-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n';
 const earlyHintsResponse = 'HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n';
-/** Time in which an endpoint runs a request, in milliseconds. */
+/** Time that an endpoint takes for a request, in milliseconds. */
 const runMs = 50;
 const settleMs = 200;
 const outcomeTimeoutMs = 1_000;
-/** Time within which a stop ends that waits for nobody, in milliseconds. */
+/** A stop that waits for no caller ends within this time, in milliseconds. */
 const stopTimeoutMs = 2_600;
-/** Calls that are given up. */
 const abortedCalls = 5;
-/** More bytes than a connection holds on loopback. */
+/** Larger than the socket buffers of a loopback connection. */
 const longBody = Buffer.alloc(16_000_000);
 
 function createSignedHeaders(id: unknown): Record<string, string> {
   return { 'laburnumstream-request-id': String(id), 'laburnumstream-server-seal': 'seal.e0' };
 }
 
-/** Heads a stream without a length or chunks and closes the connection. */
+/** Sends the head of a stream without Content-Length or chunked encoding and closes the connection. */
 const closesAfterHead: EngineBehaviour = ({ socket, headers }) => {
   const lines = Object.entries(createSignedHeaders(headers['laburnumstream-request-id']));
   const head = lines.map(([name, value]) => `${name}: ${value}\r\n`).join('');
--- a/features/steps/answers.steps.ts
+++ b/features/steps/answers.steps.ts
@@ -35,7 +35,7 @@
   return answersFleet.agents.filter(({ engine }) => engine);
 }
 
-/** Streams an answer and does something to the agent that runs it. */
+/** Streams a response and calls `act` with the agent that runs the request, in mid-stream. */
 async function streamWithDisturbance(
   world: AnswersWorld,
   act: (agent: FleetAgent) => void,
@@ -143,7 +143,7 @@
   }));
 }
 
-/** Doubles frames and mixes in those of an earlier attempt and of another request. */
+/** Duplicates frames and interleaves those of an earlier attempt and of another request. */
 function addStaleFrames(texts: readonly string[], random: SeededRandom): ReplayedFrame[] {
   const strangers = [
     ...createFrames('request', 1, texts),
--- a/features/steps/atMostOnce.steps.ts
+++ b/features/steps/atMostOnce.steps.ts
@@ -67,7 +67,7 @@
     await order(this, 0);
     await order(this, 0);
     const replayed = async () => (await order(this, 1)).status === 200;
-    // The outcome is recorded beside the first answer, so another agent may see it a moment later.
+    // The outcome is recorded concurrently with the first response, so other agents may see it later.
     await eventually(replayed, 'the outcome is recorded');
     this.orderAnswers = this.orderAnswers.filter(({ status }) => status === 200);
   },
@@ -170,7 +170,7 @@
       this.orderAnswers.map(({ status }) => status),
       [200, 200, 503],
     );
-    // Whether an earlier copy with the key ran cannot be known without the store.
+    // Without the store, an agent can't know whether an earlier request with the key was executed.
     assert.equal(parseError(this.orderAnswers[2]!).type, 'store_unavailable');
     assert.equal(parseError(this.orderAnswers[2]!).execution, 'unknown');
     assert.equal(countRuns(this, '{"without":"key"}'), 1);
@@ -198,6 +198,9 @@
   orders.forEach((body) => {
     const last = this.orderAnswers.filter((answer) => answer.order === body).at(-1)!;
     const isRefused = last.status !== 200 && parseError(last).execution === 'not run';
-    assert.ok(!isRefused || !bodies.includes(body), `${body} was called not run but ran`);
+    assert.ok(
+      !isRefused || !bodies.includes(body),
+      `${body} was executed although it was reported as not run`,
+    );
   });
 });
--- a/features/steps/changeHistories.steps.ts
+++ b/features/steps/changeHistories.steps.ts
@@ -13,10 +13,10 @@
 const settleMs = 30_000;
 const faults = [...Array<CallFault>(8).fill(CallFault.none), ...Object.values(CallFault)];
 
-/** One change of a history. */
+/** One configuration change of a history. */
 interface Step {
   readonly editor: number;
-  /** Changes of the same item are conflicts. */
+  /** Concurrent changes of the same item conflict. */
   readonly item: number;
   readonly pauseMs: number;
   readonly outageMs: number;
@@ -40,7 +40,7 @@
 });
 
 async function runSteps(fleet: EditingFleet, steps: readonly Step[]): Promise<ChangeOutcome[]> {
-  const told: Promise<ChangeOutcome>[] = [];
+  const pending: Promise<ChangeOutcome>[] = [];
   const { clock } = fleet;
   for (const [index, { editor, item, pauseMs, outageMs }] of steps.entries()) {
     const store = fleet.stores[editor]!;
@@ -52,7 +52,7 @@
     }
     const changeId = `change-${index}`;
     const services = { [`item-${item}`]: { kind: 'plain', nonIdempotentPaths: [`/${index}`] } };
-    told.push(
+    pending.push(
       recordOutcome(
         changeId,
         fleet.start(createPatch(`author-${editor}`, { services }, changeId), editor),
@@ -60,20 +60,20 @@
     );
     await clock.runUntil(clock.now() + pauseMs);
   }
-  const all = await clock.runFor(Promise.all(told));
+  const outcomes = await clock.runFor(Promise.all(pending));
   await clock.runUntil(clock.now() + settleMs);
-  return all;
+  return outcomes;
 }
 
 async function runHistories(count: number, checksConditions: boolean): Promise<HistoriesWorld> {
   const world: HistoriesWorld = { historyFaults: [], outcomes: new Map() };
-  const run = fc.asyncProperty(history, async ({ seed: of, steps, callFaults }) => {
-    const fleet = new EditingFleet(of, editors);
+  const run = fc.asyncProperty(history, async ({ seed: fleetSeed, steps, callFaults }) => {
+    const fleet = new EditingFleet(fleetSeed, editors);
     fleet.content.checksConditions = checksConditions;
     for (const store of fleet.stores) store.fault = () => callFaults.next().value as CallFault;
-    const told = await runSteps(fleet, steps);
-    world.historyFaults.push(...findHistoryFaults(told, await fleet.readAuditTrail()));
-    told.forEach(({ outcome }) => {
+    const outcomes = await runSteps(fleet, steps);
+    world.historyFaults.push(...findHistoryFaults(outcomes, await fleet.readAuditTrail()));
+    outcomes.forEach(({ outcome }) => {
       const kind = typeof outcome === 'number' ? 'accepted' : outcome;
       world.outcomes.set(kind, (world.outcomes.get(kind) ?? 0) + 1);
     });
--- a/features/steps/configuration.steps.ts
+++ b/features/steps/configuration.steps.ts
@@ -20,17 +20,17 @@
 const tokenHash = 'a'.repeat(64);
 const secondMs = 1_000;
 
-/** What the scenarios of configuration changes share. */
+/** State shared by the scenarios of configuration changes. */
 export interface ConfigurationWorld {
   editing: EditingFleet;
   change: Change;
-  changeTold: ChangeOutcome[];
+  changeOutcomes: ChangeOutcome[];
   changeFailure: Failure;
   changeMs: number;
   effects: Effect[];
 }
 
-/** A change by an author that patches parts of the document. */
+/** Creates a change that merges `parts` into the document. */
 export function createPatch(author: string, parts: object, changeId = `${author}-change`): Change {
   const by = { author, reason: 'test', at: 1 };
   return { ...applyChange(by, parts as Record<string, unknown>), changeId };
@@ -70,7 +70,7 @@
       { services: { one: plainService } },
       { services: { two: plainService } },
     ] as const;
-    this.changeTold = await applyConcurrently(this.editing, patches);
+    this.changeOutcomes = await applyConcurrently(this.editing, patches);
   },
 );
 
@@ -80,7 +80,7 @@
     'one',
     'two',
   ]);
-  assert.ok(this.changeTold.every(({ outcome }) => typeof outcome === 'number'));
+  assert.ok(this.changeOutcomes.every(({ outcome }) => typeof outcome === 'number'));
 });
 
 When('both change the same service at the same time', async function go(this: ConfigurationWorld) {
@@ -102,7 +102,7 @@
   },
 );
 
-/** Lets a fault befall the first write of the document at the first editor. */
+/** Injects a fault into the first editor's next write of the document. */
 function failFirstWrite({ editing }: ConfigurationWorld, fault: CallFault): void {
   const [store] = editing.stores;
   let left = 1;
@@ -120,14 +120,14 @@
 
 When("the answer to a change's write is lost", async function go(this: ConfigurationWorld) {
   failFirstWrite(this, CallFault.lostAnswer);
-  this.changeTold = await applyAndRecord(this.editing);
+  this.changeOutcomes = await applyAndRecord(this.editing);
 });
 
 When(
   "a change's write lands after its caller gave up",
   async function go(this: ConfigurationWorld) {
     failFirstWrite(this, CallFault.late);
-    this.changeTold = await applyAndRecord(this.editing);
+    this.changeOutcomes = await applyAndRecord(this.editing);
     await this.editing.clock.runUntil(this.editing.clock.now() + 20 * secondMs);
   },
 );
@@ -150,7 +150,7 @@
       ({ changeId }) => changeId === 'ann-change',
     );
     assert.equal(isInline, false);
-    this.changeTold = [await editing.clock.runFor(waiting)];
+    this.changeOutcomes = [await editing.clock.runFor(waiting)];
   },
 );
 
@@ -158,7 +158,7 @@
   const trail = await this.editing.readAuditTrail();
   const records = trail.filter(({ changeId }) => changeId === 'ann-change');
   assert.equal(records.length, 1);
-  assert.equal(this.changeTold[0]!.outcome, records[0]!.revision);
+  assert.equal(this.changeOutcomes[0]!.outcome, records[0]!.revision);
 });
 
 async function applyAndExpectFailure(editing: EditingFleet) {
@@ -278,7 +278,7 @@
     const services = { [service]: { ...plainService, nonIdempotentPaths: ['/orders'] } };
     return { ...createPatch('ben', { services }, service), permit };
   };
-  this.changeTold = [
+  this.changeOutcomes = [
     await recordOutcome('desk', this.editing.apply(change('desk'))),
     await recordOutcome('other', this.editing.apply(change('other'))),
   ];
@@ -286,7 +286,7 @@
 
 Then('only the change of the own service is accepted', function check(this: ConfigurationWorld) {
   assert.deepEqual(
-    this.changeTold.map(({ outcome }) => outcome),
+    this.changeOutcomes.map(({ outcome }) => outcome),
     [3, 'forbidden'],
   );
 });
--- a/features/steps/cutPath.steps.ts
+++ b/features/steps/cutPath.steps.ts
@@ -12,7 +12,7 @@
   got: CallerResponse;
 }
 
-/** Time in which a request would reach an engine, in milliseconds. */
+/** Time within which a forwarded request would reach an engine, in milliseconds. */
 const executionWaitMs = 200;
 
 async function readText(socket: Socket): Promise<string> {
--- a/features/steps/fairness.steps.ts
+++ b/features/steps/fairness.steps.ts
@@ -76,7 +76,7 @@
   assert.ok(Math.abs(started.honest - started.cautious) <= 5, JSON.stringify(started));
 });
 
-/** A clock that stands still until it is set; sleeps never end by themselves. */
+/** Clock whose time changes only when it is set; sleeps never end. */
 class ManualClock implements Clock {
   time = 0;
 
--- a/features/steps/forwarding.steps.ts
+++ b/features/steps/forwarding.steps.ts
@@ -43,8 +43,8 @@
 });
 
 Then(/^the call ends as (whole|truncated)$/, function check(this: ForwardingWorld, end: string) {
-  const seen = this.outcome.kind === 'answer' ? 'whole' : this.outcome.fault;
-  assert.equal(seen, end, JSON.stringify(this.outcome));
+  const actual = this.outcome.kind === 'answer' ? 'whole' : this.outcome.fault;
+  assert.equal(actual, end, JSON.stringify(this.outcome));
   if (this.outcome.kind === 'answer') {
     assert.equal(this.outcome.response.body.toString(), wholeBody);
   }
@@ -69,29 +69,29 @@
 
 Then('over seeded answers an endpoint that fails four in ten costs more than a sound one', () => {
   const random = new SeededRandom(11);
-  const grey = new EndpointHealth();
-  const sound = new EndpointHealth();
+  const failing = new EndpointHealth();
+  const healthy = new EndpointHealth();
   for (let request = 0; request < 200; request += 1) {
     const now = request * 20;
-    const isBad = random.next() < 0.4;
-    grey.count(isBad ? AttemptSign.failed : AttemptSign.answered, now);
-    sound.count(AttemptSign.answered, now);
+    const isFailure = random.next() < 0.4;
+    failing.count(isFailure ? AttemptSign.failed : AttemptSign.answered, now);
+    healthy.count(AttemptSign.answered, now);
   }
   const end = 200 * 20;
-  assert.ok(grey.failureRate(end) > 0.25, `grey ${grey.failureRate(end)}`);
-  assert.ok(sound.failureRate(end) < 0.01, `sound ${sound.failureRate(end)}`);
-  const forgotten = end + 30_000;
-  assert.ok(grey.failureRate(forgotten) < 0.01, 'it gets another chance');
+  assert.ok(failing.failureRate(end) > 0.25, `failing endpoint: ${failing.failureRate(end)}`);
+  assert.ok(healthy.failureRate(end) < 0.01, `healthy endpoint: ${healthy.failureRate(end)}`);
+  const afterDecay = end + 30_000;
+  assert.ok(failing.failureRate(afterDecay) < 0.01, 'the failure rate decays without requests');
 });
 
 Then('an endpoint that fails twice in a row is left alone and then tried by one request', () => {
   const health = new EndpointHealth();
   health.count(AttemptSign.failed, 1_000);
-  assert.ok(health.mayTry(3, 1_000), 'one failure says little');
+  assert.ok(health.mayTry(3, 1_000), 'one failure does not eject an endpoint');
   health.count(AttemptSign.failed, 1_010);
   assert.ok(!health.mayTry(0, 1_100));
   assert.ok(health.mayTry(0, 1_300));
-  assert.ok(!health.mayTry(1, 1_300), 'a second request waits for the first');
+  assert.ok(!health.mayTry(1, 1_300), 'only one request probes an ejected endpoint at a time');
   health.count(AttemptSign.answered, 1_320);
   assert.ok(health.mayTry(3, 1_320));
 });
@@ -128,8 +128,11 @@
 const limits = { slots: 16, spare: 1, unreadMs: 200 };
 const readMs = 20;
 
-/** Lets entries send in turn, one request each, until none has room; returns how many were sent. */
-function sendUntilFull(loads: readonly EndpointLoad[], isTold: boolean, now: number): number {
+/**
+ * Lets entries dispatch requests round-robin until none has room; returns the number dispatched.
+ * With `isShared` each entry's load is reported to the others after each turn.
+ */
+function sendUntilFull(loads: readonly EndpointLoad[], isShared: boolean, now: number): number {
   let sent = 0;
   for (let turn = 0; turn < limits.slots * loads.length; turn += 1) {
     const load = loads[turn % loads.length]!;
@@ -137,7 +140,7 @@
       load.start(readMs);
       sent += 1;
     }
-    if (isTold) {
+    if (isShared) {
       const others = loads.filter((other) => other !== load);
       others.forEach((other) => other.hear(`entry ${turn % loads.length}`, load.ownLoad, now));
     }
@@ -145,7 +148,7 @@
   return sent;
 }
 
-/** Loads of one engine as `count` entries of its region see them, with 6 of 16 slots free. */
+/** Creates `count` entries' views of an engine in their region that reports 6 of 16 slots free. */
 function createLoads(count: number): EndpointLoad[] {
   const random = new SeededRandom(3);
   return Array.from({ length: count }, () => {
@@ -180,20 +183,21 @@
   assert.ok(sent <= 9, `${sent} sent`);
 });
 
-const graceMs = 8_000;
+const versionGraceMs = 8_000;
 
 Then('an engine with the newest version is used whatever its reports', () => {
-  assert.ok(mayBeginOn({ outdatedMs: -Infinity, graceMs, reportAgeMs: Infinity }));
+  assert.ok(mayBeginOn({ outdatedMs: -Infinity, graceMs: versionGraceMs, reportAgeMs: Infinity }));
 });
 
 Then('one with an older version only while its reports are fresh and its time is not over', () => {
-  assert.ok(mayBeginOn({ outdatedMs: 7_000, graceMs, reportAgeMs: 400 }));
-  // The agent and its engine stood still for 2 s; what is sent now may begin after the grace.
-  assert.ok(!mayBeginOn({ outdatedMs: 7_000, graceMs, reportAgeMs: 2_000 }));
-  assert.ok(!mayBeginOn({ outdatedMs: 7_500, graceMs, reportAgeMs: 100 }));
+  assert.ok(mayBeginOn({ outdatedMs: 7_000, graceMs: versionGraceMs, reportAgeMs: 400 }));
+  // The last report is 2 s old, so the instance may be suspended: a request sent now could start
+  // after the end of the grace period.
+  assert.ok(!mayBeginOn({ outdatedMs: 7_000, graceMs: versionGraceMs, reportAgeMs: 2_000 }));
+  assert.ok(!mayBeginOn({ outdatedMs: 7_500, graceMs: versionGraceMs, reportAgeMs: 100 }));
 });
 
-/** Sends in any second that the platform's rule bears: 17 times 1.5 and 5. */
+/** The platform's bound on requests in any second: 17 times the factor 1.5, plus a slack of 5. */
 const maxColdSendsPerSecond = 30;
 
 Then(
@@ -224,36 +228,36 @@
 
 const bound = { ratio: 0.2, slack: 102, windowMs: 10_000 };
 
-/** Times of requests and of the repeats that the budgets of all entries allowed. */
-function simulateRetries(entries: number, seed: number): { requests: number[]; repeats: number[] } {
+/** Simulates entries with a shared retry budget; returns the times of requests and of retries. */
+function simulateRetries(entries: number, seed: number): { requests: number[]; retries: number[] } {
   const random = new SeededRandom(seed);
   const budgets = Array.from(
     { length: entries },
     () => new SharedRetryBudget(bound, () => entries),
   );
   const requests: number[] = [];
-  const repeats: number[] = [];
+  const retries: number[] = [];
   for (let now = 0; now < 30_000; now += random.next() * 10) {
     const budget = budgets[Math.floor(random.next() ** 2 * entries)]!;
     budget.earn('model', now);
     requests.push(now);
-    // Most requests fail in some seconds, so that the budget binds.
+    // In 4 of every 7 seconds most requests fail, so that the retry budget is exhausted.
     const fails = now % 7_000 < 4_000 ? 0.9 : 0.05;
-    if (random.next() < fails && budget.spend('model', now)) repeats.push(now);
+    if (random.next() < fails && budget.spend('model', now)) retries.push(now);
   }
-  return { requests, repeats };
+  return { requests, retries };
 }
 
 Then('over seeded histories all entries together repeat within the bound in any window', () => {
   [1, 7, 46].forEach((entries) => {
-    const { requests, repeats } = simulateRetries(entries, entries);
+    const { requests, retries } = simulateRetries(entries, entries);
     const countIn = (times: readonly number[], from: number): number =>
       times.filter((at) => at >= from && at < from + bound.windowMs).length;
-    repeats.forEach((from) => {
-      const most = countIn(requests, from) * bound.ratio + bound.slack;
-      assert.ok(countIn(repeats, from) <= most, `${entries} entries, window from ${from}`);
+    retries.forEach((from) => {
+      const limit = countIn(requests, from) * bound.ratio + bound.slack;
+      assert.ok(countIn(retries, from) <= limit, `${entries} entries, window from ${from}`);
     });
-    assert.ok(repeats.length > 50, `${repeats.length} repeats`);
+    assert.ok(retries.length > 50, `${retries.length} retries`);
   });
 });
 
--- a/features/steps/fuzz.steps.ts
+++ b/features/steps/fuzz.steps.ts
@@ -26,7 +26,7 @@
   memoryBefore: number;
 }
 
-/** The failure that a call throws, or undefined. */
+/** Returns the error that a call throws, or undefined. */
 function catchFailure(call: () => unknown): unknown {
   try {
     call();
--- a/features/steps/growth.steps.ts
+++ b/features/steps/growth.steps.ts
@@ -31,18 +31,25 @@
 } from '../support/grownFleet.js';
 import { countVisits } from '../support/visits.js';
 
+/**
+ * These scenarios guard against work per request, per datagram and per change that grows with the
+ * number of entries. They count operations instead of measuring time, so they don't depend on the
+ * machine.
+ */
 interface GrowthWorld {
-  /** Work of one choice, by the number of entries. */
-  work: Map<number, number>;
-  /** Endpoints that were asked for room, in each look. */
-  asked: number[];
-  placed: string[];
-  builds: number;
-  /** Times that the content of a datagram was read, by the number of receivers. */
-  reads: Map<number, number>;
-  received: Map<number, number>;
-  /** Calls of one entry's feed, by the number of entries. */
-  calls: Map<number, number>;
+  /** Operations of one endpoint choice, by the number of entries. */
+  workBySize: Map<number, number>;
+  /** Number of endpoints checked for free capacity, for each check. */
+  offeredCounts: number[];
+  /** Ids of the endpoints that requests were dispatched to. */
+  placedOn: string[];
+  routingTableBuilds: number;
+  /** Reads of a datagram's content while it is encoded, by the number of receivers. */
+  contentReads: Map<number, number>;
+  /** Delivered datagrams, by the number of receivers. */
+  deliveries: Map<number, number>;
+  /** Store calls of one entry's watch, by the number of entries. */
+  storeCalls: Map<number, number>;
 }
 
 const entryCounts = [10, 100, 700] as const;
@@ -61,7 +68,7 @@
 When(
   '40 endpoints are asked for room with 10, 100 and 700 entries',
   function ask(this: GrowthWorld) {
-    this.work = measureBySize((entries) => {
+    this.workBySize = measureBySize((entries) => {
       const { directory, regions } = new LargeFleet(entries, 40);
       const random = new SeededRandom(2);
       [...directory.all].forEach((handle) =>
@@ -77,14 +84,14 @@
 Then(
   'the regions looked up are as many with 700 entries as with 10',
   function flat(this: GrowthWorld) {
-    assertIndependentOfSize(this.work);
+    assertIndependentOfSize(this.workBySize);
   },
 );
 
 When(
   'an endpoint with 10, 100 and 700 entries that told their loads is asked for room',
   function ask(this: GrowthWorld) {
-    this.work = measureBySize((entries) => {
+    this.workBySize = measureBySize((entries) => {
       const load = new EndpointLoad(() => entries, true);
       load.report(idleReport, 0, 3, 0);
       for (let entry = 0; entry < entries; entry += 1) {
@@ -98,7 +105,7 @@
 );
 
 Then('the loads read are as many with 700 entries as with 10', function flat(this: GrowthWorld) {
-  assertIndependentOfSize(this.work);
+  assertIndependentOfSize(this.workBySize);
 });
 
 const loadUpdate = fc.record({
@@ -111,11 +118,11 @@
 
 Then('sums of loads told equal those of the loads that are fresh, for any history', () => {
   fc.assert(
-    fc.property(fc.array(loadUpdate, { maxLength: 40 }), (tellings) => {
+    fc.property(fc.array(loadUpdate, { maxLength: 40 }), (updates) => {
       const loads = new PeerLoads();
       const last = new Map<number, { requests: number; unreadMs: number; at: number }>();
       let now = 0;
-      tellings.forEach(({ entry, requests, unreadMs, afterMs }) => {
+      updates.forEach(({ entry, requests, unreadMs, afterMs }) => {
         now += afterMs;
         loads.take(`front-${entry}`, { requests, unreadMs }, now);
         last.set(entry, { requests, unreadMs, at: now });
@@ -156,7 +163,7 @@
   };
 }
 
-/** A choice of endpoints that notes how many are asked for room. */
+/** Creates an endpoint source that records how many endpoints each check considers. */
 function createCountingSource(
   handles: readonly EndpointHandle[],
   hasRoom: (handle: EndpointHandle) => boolean,
@@ -173,39 +180,39 @@
 }
 
 When('a request is refused by a line with 700 endpoints', async function refuse(this: GrowthWorld) {
-  this.asked = [];
+  this.offeredCounts = [];
   const { directory, clock } = new LargeFleet(7, largestSize);
-  const choice = createCountingSource([...directory.all], () => false, this.asked);
-  const line = new DispatchQueue(choice, clock, new SeededRandom(3), noopMetrics, noopLog);
+  const source = createCountingSource([...directory.all], () => false, this.offeredCounts);
+  const queue = new DispatchQueue(source, clock, new SeededRandom(3), noopMetrics, noopLog);
   const late = { ...createRequest('late'), startBy: -1 };
-  await assert.rejects(line.place(late, new AbortController().signal), Unavailable);
+  await assert.rejects(queue.place(late, new AbortController().signal), Unavailable);
 });
 
 Then('each endpoint was asked for room once', function once(this: GrowthWorld) {
-  assert.deepEqual(this.asked, [largestSize]);
+  assert.deepEqual(this.offeredCounts, [largestSize]);
 });
 
 When(
   '20 requests wait for 700 endpoints and one of them gets room',
   async function wait(this: GrowthWorld) {
-    Object.assign(this, { asked: [], placed: [] });
+    Object.assign(this, { offeredCounts: [], placedOn: [] });
     const { directory, clock } = new LargeFleet(7, largestSize);
     const open = new Set<EndpointHandle>();
     const handles = [...directory.all];
-    const choice = createCountingSource(handles, (handle) => open.has(handle), this.asked);
-    const line = new DispatchQueue(choice, clock, new SeededRandom(3), noopMetrics, noopLog);
+    const source = createCountingSource(handles, (handle) => open.has(handle), this.offeredCounts);
+    const queue = new DispatchQueue(source, clock, new SeededRandom(3), noopMetrics, noopLog);
     for (let index = 0; index < 20; index += 1) {
-      void line
+      void queue
         .place(createRequest(`r${index}`), new AbortController().signal)
         .then(({ target }) => {
-          this.placed.push(target.id);
+          this.placedOn.push(target.id);
           open.delete(target);
         });
     }
     const free = handles[500]!;
     open.add(free);
-    this.asked.length = 0;
-    line.dispatch(testService, free);
+    this.offeredCounts.length = 0;
+    queue.dispatch(testService, free);
     await Promise.resolve();
   },
 );
@@ -214,11 +221,11 @@
   'each request was compared with that endpoint only, and one was placed',
   function compared(this: GrowthWorld) {
     assert.ok(
-      this.asked.every((count) => count === 1),
-      `${Math.max(...this.asked)} at once`,
+      this.offeredCounts.every((count) => count === 1),
+      `${Math.max(...this.offeredCounts)} endpoints in one check`,
     );
-    assert.ok(this.asked.length <= 20, `${this.asked.length} looks`);
-    assert.ok(this.placed.length > 0 && this.placed.every((id) => id === 'e500'));
+    assert.ok(this.offeredCounts.length <= 20, `${this.offeredCounts.length} checks`);
+    assert.ok(this.placedOn.length > 0 && this.placedOn.every((id) => id === 'e500'));
   },
 );
 
@@ -229,15 +236,15 @@
     const left = [...directory.all][5]!;
     state.removeEndpoint(left.id);
     directory.refresh();
-    this.placed = directory.available(testService, anyEndpoint, [left]).map(({ id }) => id);
+    this.placedOn = directory.available(testService, anyEndpoint, [left]).map(({ id }) => id);
   },
 );
 
 Then('no waiting request is placed there', function none(this: GrowthWorld) {
-  assert.deepEqual(this.placed, []);
+  assert.deepEqual(this.placedOn, []);
 });
 
-/** A store with a list that does not change, and the codec of its values. */
+/** Creates a store with `count` endpoints that never change, and the codec of its values. */
 function createStaticStore(count: number): { store: StoreFeed; codec: FleetCodec } {
   const values = Array.from({ length: count }, (_, index) => ({
     key: `${index}`,
@@ -260,7 +267,7 @@
   return { store, codec };
 }
 
-/** A feed of a state from a store. */
+/** Creates a watcher that applies the store's content to a fleet state. */
 function createWatcher(
   { store, codec }: { store: StoreFeed; codec: FleetCodec },
   state: FleetState,
@@ -282,10 +289,10 @@
 }
 
 When('an entry reads a list with 700 endpoints', async function read(this: GrowthWorld) {
-  this.builds = 0;
+  this.routingTableBuilds = 0;
   const abort = new AbortController();
   const state = new FleetState(noopMetrics, noopLog, () => {
-    this.builds += 1;
+    this.routingTableBuilds += 1;
   });
   void createWatcher(createStaticStore(largestSize), state, new VirtualClock()).run(abort.signal);
   await new Promise((resolve) => {
@@ -296,10 +303,10 @@
 });
 
 Then('its routing tables are built once', function once(this: GrowthWorld) {
-  assert.equal(this.builds, 1);
+  assert.equal(this.routingTableBuilds, 1);
 });
 
-/** Sends one datagram to some receivers on one port; returns how often its content was read. */
+/** Sends one datagram to several receivers; returns how often its content was read for encoding. */
 async function countContentReads(
   receivers: number,
   received: Map<number, number>,
@@ -330,20 +337,20 @@
 }
 
 When('the same is sent to 1 and to 11 other processes', async function send(this: GrowthWorld) {
-  this.received = new Map();
-  this.reads = new Map([
-    [1, await countContentReads(1, this.received)],
-    [11, await countContentReads(11, this.received)],
+  this.deliveries = new Map();
+  this.contentReads = new Map([
+    [1, await countContentReads(1, this.deliveries)],
+    [11, await countContentReads(11, this.deliveries)],
   ]);
 });
 
 Then('each receives it and it was encoded once for all', function once(this: GrowthWorld) {
-  assert.deepEqual([...this.received.values()], [1, 11]);
-  assert.ok(this.reads.get(1)! > 0);
-  assert.equal(this.reads.get(11), this.reads.get(1));
+  assert.deepEqual([...this.deliveries.values()], [1, 11]);
+  assert.ok(this.contentReads.get(1)! > 0);
+  assert.equal(this.contentReads.get(11), this.contentReads.get(1));
 });
 
-/** Calls in 10 s of one of some entries to a store that answers each watch with a change. */
+/** Counts one entry's calls in 10 s to a store that responds to each watch after 20 ms with a change. */
 async function countStoreCalls(entries: number): Promise<number> {
   const abort = new AbortController();
   const { clock, state } = new LargeFleet(entries, 1);
@@ -357,10 +364,10 @@
       return { changes: [{ key: '0', value: '', revision: after + 1 }], revision: after + 1 };
     },
   };
-  const place = { host: '10.0.0.0', dataCentre: 'a' };
+  const location = { host: '10.0.0.0', dataCentre: 'a' };
   const registering: FleetCodec = {
     ...codec,
-    decode: ({ key }) => ({ kind: 'entry', name: `front-${key}`, location: place }),
+    decode: ({ key }) => ({ kind: 'entry', name: `front-${key}`, location }),
   };
   void createWatcher({ store: changing, codec: registering }, state, clock).run(abort.signal);
   await clock.runUntil(10_000);
@@ -371,7 +378,7 @@
 When(
   '7 and 38 entries follow a store with a change each 20 ms for 10 seconds',
   async function follow(this: GrowthWorld) {
-    this.calls = new Map([
+    this.storeCalls = new Map([
       [7, await countStoreCalls(7)],
       [38, await countStoreCalls(38)],
     ]);
@@ -381,7 +388,7 @@
 Then(
   'each of the 7 calls it at most 45 times and each of the 38 at most 25 times',
   function few(this: GrowthWorld) {
-    const [small = 0, grown = 0] = [...this.calls.values()];
+    const [small = 0, grown = 0] = [...this.storeCalls.values()];
     assert.ok(small > 30 && small <= 45, `${small} calls of 7 entries`);
     assert.ok(grown > 15 && grown <= 25, `${grown} calls of 38 entries`);
   },
--- a/features/steps/growthPlans.steps.ts
+++ b/features/steps/growthPlans.steps.ts
@@ -9,7 +9,7 @@
   return Array.from({ length: entries }, (_, index) => `front-${index}`);
 }
 
-/** Names of the entries that tell an agent, of all that know each other. */
+/** Returns the entries that send fleet updates to an agent, when all entries know each other. */
 function findSenders(agent: string, entries: readonly string[]): string[] {
   return entries.filter((name) => {
     const tellers = new NewsTellers(name);
@@ -22,18 +22,18 @@
   entryCounts.forEach((entries) => {
     const names = createNames(entries);
     const perAgent = Array.from({ length: 5 }, (_, agent) => findSenders(`10.0.0.${agent}`, names));
-    perAgent.forEach((tellers) => assert.equal(tellers.length, maxSenders));
+    perAgent.forEach((senders) => assert.equal(senders.length, maxSenders));
   });
 });
 
 Then('an entry that leaves changes nothing for agents that it did not tell', () => {
   const names = createNames(20);
-  const left = names.slice(1);
+  const remaining = names.slice(1);
   const agents = Array.from({ length: 40 }, (_, agent) => `10.0.0.${agent}`);
   agents.forEach((agent) => {
     const before = findSenders(agent, names);
     if (before.includes('front-0')) return;
-    assert.deepEqual(findSenders(agent, left), before);
+    assert.deepEqual(findSenders(agent, remaining), before);
   });
 });
 
--- a/features/steps/heavyDays.steps.ts
+++ b/features/steps/heavyDays.steps.ts
@@ -12,22 +12,23 @@
 const seconds = 20;
 const policyNames = ['own', 'bare-cap', 'first-come'] as const;
 
+/** Simulates a heavily loaded fleet under one queueing policy, once per seed. */
 async function runPolicy(way: string, engines: number): Promise<HeavyOutcome[]> {
   const shape = { engines, entries: 7, regions: 3, factor: 1, seconds, way };
   return Promise.all(seeds.map((seed) => new HeavyDay({ ...shape, seed }).run()));
 }
 
 async function runAllPolicies(engines: number): Promise<HeavyWorld['heavy']> {
-  const played = new Map<string, HeavyOutcome[]>();
-  for (const way of policyNames) played.set(way, await runPolicy(way, engines));
-  return played;
+  const outcomes = new Map<string, HeavyOutcome[]>();
+  for (const policy of policyNames) outcomes.set(policy, await runPolicy(policy, engines));
+  return outcomes;
 }
 
 function mean(
   outcomes: readonly HeavyOutcome[],
-  valueOf: (outcome: HeavyOutcome) => number,
+  getValue: (outcome: HeavyOutcome) => number,
 ): number {
-  return outcomes.reduce((sum, outcome) => sum + valueOf(outcome), 0) / outcomes.length;
+  return outcomes.reduce((sum, outcome) => sum + getValue(outcome), 0) / outcomes.length;
 }
 
 When(
@@ -44,8 +45,8 @@
 Then(
   "the product's way has more in time than first-come and than a bare cap with each seed",
   function compare(this: HeavyWorld) {
-    const [own, cap, first] = policyNames.map((way) =>
-      this.heavy.get(way)!.map(({ inTime }) => inTime),
+    const [own, cap, first] = policyNames.map((policy) =>
+      this.heavy.get(policy)!.map(({ inTime }) => inTime),
     );
     own!.forEach((served, index) => {
       assert.ok(served > cap![index]!, `seed ${seeds[index]}: ${served}, cap ${cap![index]}`);
--- a/features/steps/logs.steps.ts
+++ b/features/steps/logs.steps.ts
@@ -50,8 +50,8 @@
   function bounded(this: LogsWorld) {
     assert.equal(this.written.size, loggedMessages.length * seconds);
     this.written.forEach((lines) => assert.equal(lines, 100));
-    const told = this.budget.takeLeftOut().reduce((sum, { lines }) => sum + lines, 0);
-    assert.equal(told, this.leftOut);
+    const counted = this.budget.takeLeftOut().reduce((sum, { lines }) => sum + lines, 0);
+    assert.equal(counted, this.leftOut);
     assert.deepEqual(this.budget.takeLeftOut(), []);
   },
 );
@@ -77,11 +77,11 @@
   function taken(this: LogsWorld) {
     const line = 'x'.repeat(200);
     for (let written = 0; written < 20_000; written += 1) {
-      assert.ok(this.output.write(line), `line ${written} would wait`);
+      assert.ok(this.output.write(line), `writing line ${written} would block`);
     }
     const [, lost = '0'] = /log_lines_lost_total (\d+)/.exec(this.outputMetrics.render()) ?? [];
-    const mostTaken = 1_048_576 / line.length + 1;
-    assert.ok(Number(lost) >= 20_000 - mostTaken, `${lost} lines lost`);
+    const maxBuffered = 1_048_576 / line.length + 1;
+    assert.ok(Number(lost) >= 20_000 - maxBuffered, `${lost} lines lost`);
   },
 );
 
--- a/features/steps/membership.steps.ts
+++ b/features/steps/membership.steps.ts
@@ -24,9 +24,9 @@
 
 interface MembershipWorld {
   memberView: Membership;
-  memberOther: Membership;
+  otherMemberView: Membership;
   memberNow: number;
-  memberAnswer: number;
+  returnedIncarnation: number;
 }
 
 function createRecord(name: string, fields: Partial<MemberRecord> = {}): MemberRecord {
@@ -67,7 +67,7 @@
   'member {word} sends heartbeat {int} of incarnation {int}',
   function beat(this: MembershipWorld, name: string, number: number, incarnation: number) {
     const record = createRecord(name, { beat: number, incarnation });
-    this.memberAnswer = this.memberView.hear(record, this.memberNow);
+    this.returnedIncarnation = this.memberView.hear(record, this.memberNow);
   },
 );
 
@@ -99,7 +99,7 @@
 Then(
   'the answer names incarnation {int} and the record rests on heartbeat {int}',
   function check(this: MembershipWorld, incarnation: number, beat: number) {
-    assert.equal(this.memberAnswer, incarnation);
+    assert.equal(this.returnedIncarnation, incarnation);
     assert.equal(this.memberView.get('agent-1')?.beat, beat);
   },
 );
@@ -125,15 +125,15 @@
 
 Given('two membership views that hear the same member', function views(this: MembershipWorld) {
   this.memberView = new Membership('north-a', bounds);
-  this.memberOther = new Membership('north-a', bounds);
+  this.otherMemberView = new Membership('north-a', bounds);
   this.memberView.hear(createRecord('agent-1', { beat: 1 }), 0);
-  this.memberOther.hear(createRecord('agent-1', { beat: 2 }), 0);
+  this.otherMemberView.hear(createRecord('agent-1', { beat: 2 }), 0);
 });
 
 When('the first one no longer hears it', function cut(this: MembershipWorld) {
   this.memberView.hear(createRecord('agent-1', { beat: 3 }), 0);
   for (let beat = 4; beat < 9; beat += 1) {
-    this.memberOther.hear(createRecord('agent-1', { beat }), beat * 500);
+    this.otherMemberView.hear(createRecord('agent-1', { beat }), beat * 500);
   }
   this.memberNow = 4_000;
   this.memberView.sweep(this.memberNow);
@@ -143,9 +143,9 @@
 Then(
   'the member is alive for both after they have compared',
   function check(this: MembershipWorld) {
-    exchangeRecords(this.memberView, this.memberOther, this.memberNow);
-    exchangeRecords(this.memberView, this.memberOther, this.memberNow);
-    [this.memberView, this.memberOther].forEach((view) => {
+    exchangeRecords(this.memberView, this.otherMemberView, this.memberNow);
+    exchangeRecords(this.memberView, this.otherMemberView, this.memberNow);
+    [this.memberView, this.otherMemberView].forEach((view) => {
       view.sweep(this.memberNow + 100);
       assert.equal(view.standing('agent-1', this.memberNow + 100), Standing.alive);
     });
@@ -185,7 +185,7 @@
   waitMs: fc.nat(2_500),
 });
 
-/** Plays a history and returns its views; `check` sees every view after each event. */
+/** Applies a history to three views and returns them; `check` runs after each event. */
 function runHistory(
   events: readonly HistoryEvent[],
   check: (views: readonly Membership[], left: ReadonlyMap<string, number>) => void,
@@ -208,8 +208,8 @@
       views[view]!.hear(createRecord(`agent-${member}`, { incarnation, beat, state }), now);
       if (self.leaving) left.set(`${view} agent-${member}`, incarnation);
     }
-    const told = views[view]!.changesAfter(0).records;
-    if (kind === 'tell') told.forEach((record) => views[other]!.learn(record, now));
+    const known = views[view]!.changesAfter(0).records;
+    if (kind === 'tell') known.forEach((record) => views[other]!.learn(record, now));
     views.forEach((each) => each.sweep(now));
     check(views, left);
   });
@@ -271,7 +271,7 @@
   });
   const most = Math.max(...load.values());
   // 760 agents with 3 observers each over 370 entries: 6.2 on average.
-  assert.ok(most <= 18, `${most} agents beat to one entry`);
+  assert.ok(most <= 18, `${most} agents send heartbeats to one entry`);
 });
 
 Then(
--- a/features/steps/metrics.steps.ts
+++ b/features/steps/metrics.steps.ts
@@ -13,10 +13,10 @@
   mostWaiting: number;
 }
 
-/** More requests than an entry sends to one endpoint at once. */
+/** More than the maximum of concurrent requests that an entry sends to one endpoint. */
 const concurrentRequests = 100;
 
-/** Sends a request that nobody waits for; the signal makes its caller leave. */
+/** Sends a request without waiting for its response; aborting the signal disconnects the caller. */
 function sendWithoutWaiting(
   { settings }: PlatformFleet,
   path: string,
@@ -79,14 +79,14 @@
     for (let sent = 0; sent < concurrentRequests; sent += 1)
       sendWithoutWaiting(platform, '/unsafe/x', `crowd-${sent}`);
     this.mostWaiting = 0;
-    const isOver = (): boolean => {
+    const allSettled = (): boolean => {
       const waits = sumMetric(metrics, 'requests_waiting', { service: 'desk' });
       assert.ok(waits <= sumMetric(metrics, 'requests_running'), metrics.render());
       this.mostWaiting = Math.max(this.mostWaiting, waits);
       const sent = sumMetric(metrics, 'endpoint_connections_total');
       return waits === 0 && countRefused(platform) + sent === concurrentRequests;
     };
-    await eventually(isOver, 'each request was sent or refused', 5_000);
+    await eventually(allSettled, 'each request was sent or refused', 5_000);
   },
 );
 
@@ -133,13 +133,13 @@
   'the metrics show 2 endpoints with version 1 and 1 with version 2',
   async function versions(this: MetricsWorld) {
     const { metrics } = this.platform;
-    const of = (version: string): number =>
+    const countEndpoints = (version: string): number =>
       sumMetric(metrics, 'endpoints_by_version', { service: 'model', version });
     await eventually(
       () => sumMetric(metrics, 'version_named', { model: 'm' }) === 2,
       'it is named',
     );
-    assert.deepEqual([of('1'), of('2')], [2, 1], metrics.render());
+    assert.deepEqual([countEndpoints('1'), countEndpoints('2')], [2, 1], metrics.render());
   },
 );
 
@@ -181,10 +181,10 @@
   /^its metrics show version (\d) as served, (\d) as complete and (\d) as named$/,
   async function weights(this: MetricsWorld, served: string, complete: string, named: string) {
     const states = ['served', 'complete', 'named'];
-    const text = (): string =>
+    const versions = (): string =>
       states.map((state) => sumMetric(this.sidecarMetrics, 'weights_version', { state })).join();
-    const wanted = [served, complete, named].join();
-    await eventually(() => text() === wanted, `versions are ${wanted}`);
+    const expected = [served, complete, named].join();
+    await eventually(() => versions() === expected, `versions are ${expected}`);
     await eventually(() => sumMetric(this.sidecarMetrics, 'engine_answering') === 1, 'it answers');
   },
 );
--- a/features/steps/metricsText.steps.ts
+++ b/features/steps/metricsText.steps.ts
@@ -14,7 +14,7 @@
     this.metrics = new HistogramMetrics();
     const sink = { writableLength: 0, write: () => true };
     const log = new LoggerFactory('front-1', 'info', this.metrics, sink).part('line');
-    // All lines fall into one second of the budget's clock.
+    // All lines must fall into the same second of the log's rate limiter.
     await eventually(() => performance.now() % 1_000 < 500, 'a second has just begun');
     for (let line = 0; line < 250; line += 1) log.info('Request placed.');
     for (let line = 0; line < 50; line += 1) log.info('Request refused.');
--- a/features/steps/misleadingEndpoints.steps.ts
+++ b/features/steps/misleadingEndpoints.steps.ts
@@ -8,14 +8,14 @@
   health: EndpointHealth;
   pauses: number[];
   grown: LargeFleet;
-  /** Whether the endpoint might be used right after each start. */
+  /** Whether the endpoint was eligible immediately after each restart. */
   usable: boolean[];
 }
 
 const recoveryMs = 11_000;
 const stepMs = 10;
 
-/** Time from `now` until an endpoint is tried again, in milliseconds. */
+/** Returns the time from `now` until an ejected endpoint is probed, in milliseconds. */
 function measurePause(health: EndpointHealth, now: number): number {
   let at = now;
   while (!health.mayTry(0, at)) at += stepMs;
@@ -54,7 +54,7 @@
   }
 });
 
-/** Lets an endpoint fail some times in a row; returns how long it is left alone. */
+/** Records consecutive failures of an endpoint; returns how long it is ejected, in milliseconds. */
 function recordFailures(health: EndpointHealth, times: number, now: number): number {
   for (let time = 0; time < times; time += 1) health.count(AttemptSign.failed, now);
   return measurePause(health, now);
@@ -88,12 +88,12 @@
   assert.equal(recordFailures(this.health, 3, now), 500);
 });
 
-/** Lets time pass. */
+/** Advances virtual time. */
 function advance({ clock }: LargeFleet, ms: number): Promise<void> {
   return clock.runUntil(clock.now() + ms);
 }
 
-/** Registers an endpoint with another start; returns whether it may be used. */
+/** Registers an endpoint with a new start time; returns whether it is eligible for requests. */
 function restart({ state, directory }: LargeFleet, index: number, bornAt: number): boolean {
   state.setEndpoint({ ...createEndpoint(index), bornAt });
   directory.refresh();
--- a/features/steps/overload.steps.ts
+++ b/features/steps/overload.steps.ts
@@ -68,7 +68,7 @@
   'a fleet of two engines that bear {int} units each under a flood of two workspaces',
   async function run(this: OverloadWorld, capacity: number) {
     const engine = { capacity, coldCapacity: capacity, prefillMs: 20, tokenMs: 5 };
-    // The silence of a process that waits for a processor is not the subject here.
+    // A long timeout: a process that lacks CPU time on a busy machine must not count as failed.
     const options = { silenceMs: 20_000 };
     this.overloadFleet = await Fleet.start(shape, { engine, options, logLevel: 'warn' });
     const engines = this.overloadFleet.agents.map((agent) => agent.engine!);
@@ -98,7 +98,8 @@
       assert.equal(status, 429);
       assert.equal(error?.type, 'overloaded');
       assert.ok(Number(error?.retryAfterMs) > 0);
-      // A lost connection before the refusal makes it unknown; `not run` has to be true.
+      // A connection lost before the refusal leaves the execution unknown, which is allowed; a
+      // request that is reported as `not run` must not have been executed.
       assert.equal(error?.execution === 'not run' && ran.has(`large ${index}`), false);
     });
     assert.ok(refused.some(({ error }) => error?.execution === 'not run'));
--- a/features/steps/path.steps.ts
+++ b/features/steps/path.steps.ts
@@ -9,7 +9,7 @@
 const weightBytes = 1_048_576;
 const model = 'assistant-model';
 const prompt = 'Which numbers are free?';
-/** Tokens of an answer that lasts longer than all pauses of a shutdown. */
+/** Tokens of a response that takes longer than all delays of a shutdown together. */
 const longAnswer = 1_200;
 
 setDefaultTimeout(scenarioTimeoutMs);
@@ -85,6 +85,6 @@
   assert.equal(this.seen.ended, true);
   assert.equal(this.seen.tokens.length, longAnswer);
   const runs = this.fleet.agents.flatMap(({ engine }) => engine?.runs ?? []);
-  assert.equal(runs.length, 1, 'Another engine had to go on with the answer.');
+  assert.equal(runs.length, 1, 'Another engine had to resume the response.');
   assert.equal(this.exitCode, 0);
 });
--- a/features/steps/platformPrograms.steps.ts
+++ b/features/steps/platformPrograms.steps.ts
@@ -21,11 +21,11 @@
   programStore: PlatformStore;
   programLines: SettingsLines;
   program: PlatformProgram;
-  feedAbort: AbortController;
-  feedState: FleetState;
+  watcherAbort: AbortController;
+  fleetState: FleetState;
   returnedAt: number;
   platform: PlatformFleet;
-  heardVersions: number[];
+  receivedVersions: number[];
 }
 
 const silentLog = {
@@ -40,7 +40,7 @@
   try {
     return (await fetch(url)).status;
   } catch {
-    // The program does not listen yet.
+    // The program isn't listening yet.
     return 0;
   }
 }
@@ -48,7 +48,7 @@
 After(function close(this: Partial<ProgramsWorld>) {
   this.program?.close();
   this.programStore?.close();
-  this.feedAbort?.abort();
+  this.watcherAbort?.abort();
 });
 
 Given(
@@ -107,15 +107,15 @@
   },
 );
 
-/** Starts a feed of the world's store. */
+/** Starts a watcher that applies the store's content to `world.fleetState`. */
 function startWatcher(world: ProgramsWorld): void {
-  Object.assign(world, { feedAbort: new AbortController() });
+  Object.assign(world, { watcherAbort: new AbortController() });
   const metrics = new HistogramMetrics();
-  Object.assign(world, { feedState: new FleetState(metrics, silentLog, () => undefined) });
-  const feed = new FleetWatcher(
+  Object.assign(world, { fleetState: new FleetState(metrics, silentLog, () => undefined) });
+  const watcher = new FleetWatcher(
     new StoreClient(world.programStore.address),
     storeCodec,
-    world.feedState,
+    world.fleetState,
     new ConfigurationProof(4_600, 2_500),
     new SleepAwareClock(clock),
     clock,
@@ -123,7 +123,7 @@
     silentLog,
     8_000,
   );
-  void feed.run(world.feedAbort.signal);
+  void watcher.run(world.watcherAbort.signal);
 }
 
 Given(
@@ -136,14 +136,14 @@
     await sleep(500);
     this.programStore.refusal = undefined;
     this.returnedAt = clock.now();
-    await eventually(() => this.feedState.namedVersions('m')?.newest === 2, 'version 2 is known');
+    await eventually(() => this.fleetState.namedVersions('m')?.newest === 2, 'version 2 is known');
   },
 );
 
 Then(
   "the version counts as named at least 5.5 seconds before the store's return",
   function nearlyDue(this: ProgramsWorld) {
-    const namedAt = this.feedState.namedVersions('m')!.namedAt(2)!;
+    const namedAt = this.fleetState.namedVersions('m')!.namedAt(2)!;
     assert.ok(this.returnedAt - namedAt >= 5_500, `${this.returnedAt - namedAt} ms before`);
   },
 );
@@ -154,21 +154,21 @@
     this.programStore = await PlatformStore.start();
     this.programStore.write('op/version/m', { Model: 'm', Version: 1 });
     startWatcher(this);
-    await eventually(() => this.feedState.namedVersions('m')?.newest === 1, 'version 1 is known');
+    await eventually(() => this.fleetState.namedVersions('m')?.newest === 1, 'version 1 is known');
     this.programStore.refusal = 503;
     await sleep(1_200);
     this.programStore.write('op/version/m', { Model: 'm', Version: 2 });
     await sleep(800);
     this.programStore.refusal = undefined;
     this.returnedAt = clock.now();
-    await eventually(() => this.feedState.namedVersions('m')?.newest === 2, 'version 2 is known');
+    await eventually(() => this.fleetState.namedVersions('m')?.newest === 2, 'version 2 is known');
   },
 );
 
 Then(
   "the version counts as named not more than 1 second before the store's return",
   function counted(this: ProgramsWorld) {
-    const namedAt = this.feedState.namedVersions('m')!.namedAt(2)!;
+    const namedAt = this.fleetState.namedVersions('m')!.namedAt(2)!;
     assert.ok(namedAt >= this.returnedAt - 1_000, `${this.returnedAt - namedAt} ms before`);
   },
 );
@@ -193,16 +193,16 @@
     layers: { From: 0, To: 16, Version: 1 },
     born: 1,
   });
-  this.heardVersions = [];
-  this.feedAbort = new AbortController();
+  this.receivedVersions = [];
+  this.watcherAbort = new AbortController();
   const agent = new FleetDatagrams(
     'side-1',
-    { fleet: ({ weights }) => weights && this.heardVersions.push(weights.version) },
+    { fleet: ({ weights }) => weights && this.receivedVersions.push(weights.version) },
     clock,
     new HistogramMetrics(),
     silentLog,
   );
-  await agent.bind('127.0.0.3', settings.firstPort, this.feedAbort.signal);
+  await agent.bind('127.0.0.3', settings.firstPort, this.watcherAbort.signal);
   await this.platform.startEntry();
   await eventually(
     () => this.platform.logEntries.some(({ message }) => message === 'registration: Registered.'),
@@ -215,17 +215,21 @@
 });
 
 Then('the agent hears of it within 2 seconds', async function hears(this: ProgramsWorld) {
-  await eventually(() => this.heardVersions.includes(2), 'the agent hears of version 2', 2_000);
+  await eventually(
+    () => this.receivedVersions.includes(2),
+    'the agent is informed of version 2',
+    2_000,
+  );
 });
 
 Then(
   'a datagram that is sent after its socket has closed is dropped',
   async function dropped(this: ProgramsWorld) {
-    this.feedAbort = new AbortController();
+    this.watcherAbort = new AbortController();
     const metrics = new HistogramMetrics();
     const datagrams = new FleetDatagrams('front-1', {}, clock, metrics, silentLog);
-    await datagrams.bind('127.0.0.1', 0, this.feedAbort.signal);
-    this.feedAbort.abort();
+    await datagrams.bind('127.0.0.1', 0, this.watcherAbort.signal);
+    this.watcherAbort.abort();
     const content = { case: 'fleet', value: { reportEveryMs: 300 } } as const;
     assert.doesNotThrow(() => datagrams.send(content, '127.0.0.1'));
   },
--- a/features/steps/poison.steps.ts
+++ b/features/steps/poison.steps.ts
@@ -124,7 +124,11 @@
 }));
 const crashingRequest = { fingerprint: 'guilty', workspace: 'w', service: 's' };
 
-/** Deaths beside each other, then the guilty one alone, with verdicts exchanged at random. */
+/**
+ * Simulates engine losses of requests that run concurrently with the crashing one, and of the
+ * crashing one, which runs alone once it is suspect. Two books exchange verdicts at random; `hasty`
+ * takes every loss as if its request had run alone.
+ */
 function verdictHistory(seed: number): { fair: VerdictBook[]; hasty: VerdictBook } {
   const random = new SeededRandom(seed);
   const fair = [new VerdictBook(retentionMs), new VerdictBook(retentionMs)];
@@ -134,9 +138,9 @@
     if (random.next() < 0.7) to.merge(from.share(now), now);
   };
   for (let now = 1; now < 20; now += 1) {
-    const beside = innocentRequests[Math.floor(random.next() * innocentRequests.length)]!;
-    pick().lost(beside, Loss.endpoint, false, now);
-    hasty.lost(beside, Loss.endpoint, true, now);
+    const concurrent = innocentRequests[Math.floor(random.next() * innocentRequests.length)]!;
+    pick().lost(concurrent, Loss.endpoint, false, now);
+    hasty.lost(concurrent, Loss.endpoint, true, now);
     const judge = pick();
     const alone = judge.stateOf(crashingRequest.fingerprint, now) === VerdictState.suspect;
     judge.lost(crashingRequest, Loss.endpoint, alone, now);
--- a/features/steps/processLogs.steps.ts
+++ b/features/steps/processLogs.steps.ts
@@ -15,11 +15,11 @@
 import type { MetricSample } from '../support/metricsText.js';
 import { PlatformFleet } from '../support/platformFleet.js';
 
-/** An entry program and its callers. */
+/** An entry process and a client of it. */
 interface RunningProgram {
   readonly program: PlatformProgram;
   readonly callers: Callers;
-  /** The file with its log. */
+  /** Path of its log file. */
   readonly log: string;
 }
 
@@ -27,12 +27,12 @@
   logFleet: PlatformFleet;
   logPrograms: RunningProgram[];
   results: CallerResult[];
-  asked: string;
+  requestId: string;
 }
 
 const linesPerSecond = 100;
 const secondMs = 1_000;
-/** Least time for which the programs' proof of keys lasts, in milliseconds. */
+/** Minimum validity of the programs' proof that their API keys are current, in milliseconds. */
 const minProofMs = 4_600;
 
 async function fetchMetrics({ program }: RunningProgram): Promise<MetricSample[]> {
@@ -58,7 +58,7 @@
       values.some((value) => value.name === name && value.value > 0);
     return has('endpoints') && has('entries');
   } catch {
-    // The program does not listen yet.
+    // The program isn't listening yet.
     return false;
   }
 }
@@ -121,8 +121,8 @@
 When(
   /^a caller's request to unsafe gets (\d+)$/,
   async function ask(this: ProcessLogsWorld, status: string) {
-    this.asked = 'asked';
-    const result = await this.logPrograms[0]!.callers.send('/unsafe/x', this.asked);
+    this.requestId = 'asked';
+    const result = await this.logPrograms[0]!.callers.send('/unsafe/x', this.requestId);
     assert.equal(result.status, Number(status));
   },
 );
@@ -131,7 +131,7 @@
   /^the command explains its id with (.+)$/,
   async function explain(this: ProcessLogsWorld, cause: string) {
     const { log } = this.logPrograms[0]!;
-    const { code, out, error } = await runCommand('', '', ['explain', this.asked, log]);
+    const { code, out, error } = await runCommand('', '', ['explain', this.requestId, log]);
     assert.equal(code, 0, error);
     assert.match(out.replaceAll('\n', ' '), new RegExp(cause), out);
   },
@@ -142,8 +142,8 @@
   async function flood(this: ProcessLogsWorld) {
     this.results = await this.logPrograms[0]!.callers.flood('/unsafe/x', 6_000, 2_000);
     const faults = this.results.flatMap(({ status, fault }) => (status === 0 ? [fault] : []));
-    assert.deepEqual([...new Set(faults)], [], `${faults.length} requests without an answer`);
-    // The last lines that were left out are told a second later.
+    assert.deepEqual([...new Set(faults)], [], `${faults.length} requests without a response`);
+    // The number of suppressed lines is reported a second later.
     await sleep(secondMs);
   },
 );
@@ -161,7 +161,7 @@
     });
     timesByKind.forEach((times, kind) => {
       const spanMs = times.at(-1)! - times[0]!;
-      // Seconds of the budget that the lines can touch.
+      // Number of whole seconds of the rate limit's window that the lines can span.
       const seconds = Math.floor(spanMs / secondMs) + 2;
       assert.ok(times.length <= linesPerSecond * seconds, `${times.length} of ${kind}`);
     });
@@ -177,7 +177,7 @@
     const written = readLogLines(running!).filter(({ message }) => message === kind).length;
     const leftOut = await fetchMetricSum(running!, 'log_lines_left_out_total', kind);
     const answered = this.results.filter(({ status }) => status === 200).length;
-    assert.ok(leftOut > 0, `${answered} answered, none left out`);
+    assert.ok(leftOut > 0, `${answered} requests answered, no line suppressed`);
     assert.equal(written + leftOut, answered);
     assert.equal(await fetchMetricSum(running!, 'log_lines_lost_total'), 0);
   },
@@ -212,7 +212,7 @@
 When(
   'both have had so many requests that lines of the one are lost',
   async function fill(this: ProcessLogsWorld) {
-    // Lines on failures of requests that may not be repeated are never left out.
+    // Lines on failed requests that aren't retryable are never suppressed.
     const path = '/unsafe/x?'.padEnd(2_000, 'x');
     const strangers = this.logPrograms.map(({ callers }) => new Callers(callers.address, 'other'));
     const isFull = async (): Promise<boolean> => {
@@ -237,6 +237,6 @@
     }
     const [read, unread] = times.map((all) => all.sort((a, b) => a - b));
     const ratio = unread![150]! / read![150]!;
-    assert.ok(ratio < 1.5, `median ${unread![150]} ms, of the other ${read![150]} ms`);
+    assert.ok(ratio < 1.5, `median ${unread![150]} ms, with a reader ${read![150]} ms`);
   },
 );
--- a/features/steps/proof.steps.ts
+++ b/features/steps/proof.steps.ts
@@ -9,7 +9,7 @@
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 
-/** Beginnings of the nine points under "What must always hold". */
+/** Prefixes of the nine points under "What must always hold". */
 const points = [
   'No instance ever serves partial or mixed weights',
   'An endpoint just after a cold start',
--- a/features/steps/sharedBounds.steps.ts
+++ b/features/steps/sharedBounds.steps.ts
@@ -13,15 +13,16 @@
 const historyMs = 40_000;
 const stepMs = 20;
 const maxEntries = 10;
-/** Requests a second that an engine bears while it is cold, and what all entries may send it. */
+/** Requests per second that a cold engine can handle. */
 const coldPerSecond = 36;
+/** Bound on the requests that all entries together may send to it in any second. */
 const maxColdSends = coldPerSecond * platformBounds.coldFactor + platformBounds.coldSlack;
 
 interface SharedHistory {
   readonly seed: number;
   readonly entries: number;
   readonly faults: readonly EntryFault[];
-  /** Times at which entries get requests that fail, and how many each gets. */
+  /** Bursts of failing requests; each entry receives `each` of them. */
   readonly bursts: readonly { readonly atMs: number; readonly each: number }[];
 }
 
@@ -44,7 +45,7 @@
   }),
 });
 
-/** Most of the times, which ascend, that lie in one window. */
+/** Returns the maximum number of times in one window; `times` ascend. */
 function maxInWindow(times: readonly number[], windowMs: number): number {
   let first = 0;
   let most = 0;
@@ -55,15 +56,15 @@
   return most;
 }
 
-/** Largest number of repeats beyond what requests earn, over all windows that end with a repeat. */
-function maxRetriesOverBudget(repeats: readonly number[], requests: readonly number[]): number {
+/** Maximum of retries less the budget earned by requests, over all windows that end with a retry. */
+function maxRetriesOverBudget(retries: readonly number[], requests: readonly number[]): number {
   const { retryRatio, retryWindowMs } = platformBounds;
   const countIn = (times: readonly number[], until: number): number =>
     times.filter((at) => at <= until && at > until - retryWindowMs).length;
-  const ends = [...new Set(repeats)];
+  const ends = [...new Set(retries)];
   return Math.max(
     0,
-    ...ends.map((until) => countIn(repeats, until) - countIn(requests, until) * retryRatio),
+    ...ends.map((until) => countIn(retries, until) - countIn(requests, until) * retryRatio),
   );
 }
 
@@ -84,7 +85,7 @@
     (count) => new SharedRetryBudget(bound, () => count.at(times.now)),
   );
   const requests: number[] = [];
-  const repeats: number[] = [];
+  const retries: number[] = [];
   for (let now = 0; now < historyMs; now += stepMs) {
     times.now = now;
     fleet.step(now, stepMs);
@@ -95,11 +96,11 @@
       for (let index = 0; index < each; index += 1) {
         budget.earn('model', now);
         requests.push(now);
-        if (budget.spend('model', now)) repeats.push(now);
+        if (budget.spend('model', now)) retries.push(now);
       }
     });
   }
-  return maxRetriesOverBudget(repeats, requests);
+  return maxRetriesOverBudget(retries, requests);
 }
 
 function simulateColdSends({ seed, entries, faults: struck, bursts }: SharedHistory): number {
@@ -114,7 +115,7 @@
   const sends: number[] = [];
   for (let now = 0; now < historyMs; now += stepMs) {
     fleet.step(now, stepMs);
-    // Requests press for 3 seconds from each burst on.
+    // Requests are waiting for 3 seconds from each burst on.
     const isPressed = bursts.some(({ atMs }) => atMs <= now && atMs > now - 3_000);
     fleet.states.forEach(({ count, rate }) => {
       const share = coldPerSecond / count.at(now);
@@ -131,8 +132,11 @@
   'in {int} histories all entries together repeat within the bound in any window',
   (numRuns: number) => {
     const property = fc.property(histories, (history) => {
-      const unearned = simulateRetriesOverBudget(history);
-      assert.ok(unearned <= platformBounds.retrySlack, `${unearned} beyond what requests earn`);
+      const overBudget = simulateRetriesOverBudget(history);
+      assert.ok(
+        overBudget <= platformBounds.retrySlack,
+        `${overBudget} retries beyond the earned budget`,
+      );
     });
     fc.assert(property, { seed: propertySeed, numRuns });
   },
@@ -171,22 +175,22 @@
   faults: fc.array(watchFaults, { maxLength: 8 }),
 });
 
-/** Time at which the key was removed that is gone at `at`; undefined while it is there. */
+/** Time of the key's removal that is in force at `at`; undefined while the key is present. */
 function removedAt({ changes }: WatchHistory, at: number): number | undefined {
   const made = changes.filter((change) => change <= at).sort((one, other) => one - other);
   return made.length % 2 === 1 ? made.at(-1) : undefined;
 }
 
-/** Checks what entries are seen to do over seeded histories of their feeds. */
+/** Checks observations of entries over seeded histories of their store watches. */
 async function checkWatchHistories(
   numRuns: number,
-  check: (history: WatchHistory, sights: WatchObservations) => void,
+  check: (history: WatchHistory, observations: WatchObservations) => void,
 ): Promise<void> {
   let honoured = 0;
   const property = fc.asyncProperty(watchHistories, async (history) => {
-    const sights = await runWatchHistory(history, watchHistoryMs);
-    honoured += sights.honouredAt.length;
-    check(history, sights);
+    const observations = await runWatchHistory(history, watchHistoryMs);
+    honoured += observations.honouredAt.length;
+    check(history, observations);
   });
   await fc.assert(property, { seed: propertySeed, numRuns });
   assert.ok(honoured > numRuns * 10, `the key was honoured ${honoured} times`);
--- a/features/steps/sidecar.steps.ts
+++ b/features/steps/sidecar.steps.ts
@@ -30,7 +30,7 @@
 }
 
 async function createSettings(): Promise<SidecarSettings> {
-  // Datagrams go from the entry's address to the agent's at the same port.
+  // Datagrams use the same port on the entry's and the agent's address.
   const [first] = await freePorts(2);
   return {
     instance: 'side-1',
--- a/features/steps/soak.steps.ts
+++ b/features/steps/soak.steps.ts
@@ -15,7 +15,7 @@
 const soakTimeoutMs = 150_000;
 const program = fileURLToPath(new URL('../../../bench/dist/soak.js', import.meta.url));
 
-/** Programs of a soak that run now and were started by this process or by one that has ended. */
+/** Finds running processes of a soak whose parent is this process or has ended. */
 function findLeftoverPrograms(): string[] {
   return readdirSync('/proc')
     .filter((name) => /^\d+$/.test(name))
@@ -26,7 +26,7 @@
         const command = readFileSync(`/proc/${id}/cmdline`, 'utf8');
         return parent === process.pid && /(entry|agent)Main\.js/.test(command);
       } catch {
-        // It has ended meanwhile.
+        // The process ended between listing and reading.
         return false;
       }
     });
--- a/features/steps/spread.steps.ts
+++ b/features/steps/spread.steps.ts
@@ -12,18 +12,18 @@
 
 interface SpreadWorld {
   virtual: VirtualFleet;
-  struck: VirtualEntry[];
+  faultyEntries: VirtualEntry[];
   callsBefore: number;
 }
 
-/** Patches that differ from each other. */
+/** Creates a patch that differs from all earlier ones. */
 function createNextPatch(fleet: VirtualFleet) {
   const revision = Math.max(...fleet.entries.map(({ keeper }) => keeper.configuration.revision));
   const id = `change-${revision}-${fleet.clock.now()}`;
   return createPatch('ann', { defaults: { maxQueue: revision + 100 } }, id);
 }
 
-/** An entry outside the data centre that the faults strike. */
+/** Finds a running entry outside the data centre that faults are injected into. */
 function findEditor({ entries }: VirtualFleet): VirtualEntry {
   return entries.find(({ instance, answers }) => answers && instance.dataCentre !== dataCentre)!;
 }
@@ -47,7 +47,7 @@
     await this.virtual.run(3 * secondMs);
     await this.virtual.change(createNextPatch(this.virtual), this.virtual.entries[0]!);
     await this.virtual.run(5 * secondMs);
-    this.struck = [];
+    this.faultyEntries = [];
   },
 );
 
@@ -89,21 +89,23 @@
 });
 
 When('the watchers of a data centre freeze', function freeze(this: SpreadWorld) {
-  this.struck = getFaultyWatchers(this.virtual);
-  this.struck.forEach(({ clock }) => clock.freeze());
+  this.faultyEntries = getFaultyWatchers(this.virtual);
+  this.faultyEntries.forEach(({ clock }) => clock.freeze());
 });
 
 Then(
   'the frozen entries take it within {int} seconds after they wake',
   async function check(this: SpreadWorld, seconds: number) {
     const { revision } = readStored(this.virtual);
-    this.struck.forEach(({ clock }) => clock.thaw());
+    this.faultyEntries.forEach(({ clock }) => clock.thaw());
     await this.virtual.run(seconds * secondMs);
-    this.struck.forEach(({ keeper }) => assert.equal(keeper.configuration.revision, revision));
+    this.faultyEntries.forEach(({ keeper }) =>
+      assert.equal(keeper.configuration.revision, revision),
+    );
   },
 );
 
-/** Cuts entries off from the store. */
+/** Makes the store unreachable for entries, or reachable again. */
 function setStoreDown(entries: readonly VirtualEntry[], isDown = true): void {
   entries.forEach(({ store }) => Object.assign(store, { isDown }));
 }
@@ -135,7 +137,7 @@
   await this.virtual.run(10 * secondMs);
   const started = this.virtual.restart(this.virtual.entries[7]!);
   setStoreDown([started]);
-  this.struck = [started];
+  this.faultyEntries = [started];
 });
 
 Then(
@@ -143,7 +145,7 @@
   async function check(this: SpreadWorld, seconds: number) {
     await this.virtual.run(seconds * secondMs);
     const { revision } = readStored(this.virtual);
-    assert.equal(this.struck[0]!.keeper.configuration.revision, revision);
+    assert.equal(this.faultyEntries[0]!.keeper.configuration.revision, revision);
   },
 );
 
--- a/features/steps/spreadHistories.steps.ts
+++ b/features/steps/spreadHistories.steps.ts
@@ -14,7 +14,7 @@
 const maxPauseMs = 1_500;
 const maxFaultMs = 12_000;
 
-/** What happens to a fleet at one step; each undoes itself after a time. */
+/** Faults that a step can inject; each ends by itself after some time. */
 const faults = {
   none: () => undefined,
   restart: (fleet: VirtualFleet, index: number) => {
@@ -74,30 +74,30 @@
   const entry = fleet.entries[editor]!;
   const change = createPatch(`author-${editor}`, { services }, changeId);
   const applied = entry.editor.apply(change, new AbortController().signal);
-  // A killed process tells nobody anything.
-  return recordOutcome(changeId, applied).then((told) =>
-    entry.isAlive ? told : { changeId, outcome: 'acceptance_unknown' },
+  // The author of a change gets no response from a process that was killed.
+  return recordOutcome(changeId, applied).then((outcome) =>
+    entry.isAlive ? outcome : { changeId, outcome: 'acceptance_unknown' },
   );
 }
 
 async function runHistory(
-  { seed: of, steps }: typeof history extends fc.Arbitrary<infer Value> ? Value : never,
+  { seed: fleetSeed, steps }: typeof history extends fc.Arbitrary<infer Value> ? Value : never,
   checksConditions: boolean,
-): Promise<{ faults: string[]; told: ChangeOutcome[] }> {
-  const fleet = new VirtualFleet({ seed: of, ...shape });
+): Promise<{ faults: string[]; outcomes: ChangeOutcome[] }> {
+  const fleet = new VirtualFleet({ seed: fleetSeed, ...shape });
   fleet.content.checksConditions = checksConditions;
   await fleet.run(1_000);
-  const telling: Promise<ChangeOutcome>[] = [];
+  const pending: Promise<ChangeOutcome>[] = [];
   for (const [index, { fault, faulty, faultMs, editor, item, pauseMs }] of steps.entries()) {
     faults[fault](fleet, faulty, faultMs);
-    telling.push(startChange(fleet, editor, item, `change-${index}-a`));
-    telling.push(startChange(fleet, (editor + 1) % shape.entries, item, `change-${index}-b`));
+    pending.push(startChange(fleet, editor, item, `change-${index}-a`));
+    pending.push(startChange(fleet, (editor + 1) % shape.entries, item, `change-${index}-b`));
     await fleet.run(pauseMs);
   }
   await fleet.run(maxFaultMs);
-  const told = await fleet.clock.runFor(Promise.all(telling));
+  const outcomes = await fleet.clock.runFor(Promise.all(pending));
   await fleet.run(recoveryMs);
-  return { faults: findSpreadFaults(fleet, told), told };
+  return { faults: findSpreadFaults(fleet, outcomes), outcomes };
 }
 
 async function runHistories(
@@ -105,10 +105,10 @@
   checksConditions: boolean,
 ): Promise<SpreadHistoriesWorld> {
   const world: SpreadHistoriesWorld = { spreadFaults: [], acceptedChanges: 0, reverts: 0 };
-  const run = fc.asyncProperty(history, async (of) => {
-    const { faults: found, told } = await runHistory(of, checksConditions);
+  const run = fc.asyncProperty(history, async (drawn) => {
+    const { faults: found, outcomes } = await runHistory(drawn, checksConditions);
     world.spreadFaults.push(...found);
-    world.acceptedChanges += told.filter(({ outcome }) => typeof outcome === 'number').length;
+    world.acceptedChanges += outcomes.filter(({ outcome }) => typeof outcome === 'number').length;
   });
   await fc.assert(run, { seed, numRuns: count, endOnFailure: true });
   return world;
--- a/features/steps/stops.steps.ts
+++ b/features/steps/stops.steps.ts
@@ -15,7 +15,7 @@
   stopText: string;
 }
 
-/** Idle connections are closed after half of it, which is before the stream's end. */
+/** Idle connections are closed after half of this time, before the stream ends. */
 const shutdownMs = 2_400;
 
 function createRequestText(id: string): string {
--- a/features/steps/timeouts.steps.ts
+++ b/features/steps/timeouts.steps.ts
@@ -20,9 +20,10 @@
 const collectGapMs = 20;
 
 setFlagsFromString('--expose-gc');
-const collect = runInNewContext('gc') as () => void;
+/** Runs the garbage collector, which must not reclaim abort signals that are still waited for. */
+const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Whether work ends within a time in which memory is collected all along. */
+/** Whether work ends within a time, during which garbage is collected repeatedly. */
 async function endsWithin(work: Promise<unknown>, withinMs: number): Promise<boolean> {
   let hasEnded = false;
   const end = (): void => {
@@ -32,7 +33,7 @@
   const until = performance.now() + withinMs;
   while (!hasEnded && performance.now() < until) {
     await sleep(collectGapMs);
-    collect();
+    collectGarbage();
   }
   return hasEnded;
 }
@@ -73,7 +74,7 @@
     const all = Array.from({ length: signalCount }, () =>
       waitForAbort(timeLimit(limitMs, owner.signal)),
     );
-    assert.ok(await endsWithin(Promise.all(all), 2_000), 'not all signals fired');
+    assert.ok(await endsWithin(Promise.all(all), 2_000), 'not all signals aborted');
   },
 );
 
--- a/features/steps/weightTransfer.steps.ts
+++ b/features/steps/weightTransfer.steps.ts
@@ -204,18 +204,18 @@
   );
 });
 
-/** Whether the first sources of a chunk lead from a member back to itself. */
+/** Whether following the first sources of a chunk leads from a member back to itself. */
 function isInCycle(
   { weightMembers, weightViews }: WeightTransferWorld,
   start: WeightMember,
   chunk: number,
 ): boolean {
-  let at = start;
+  let current = start;
   for (let hop = 0; hop <= weightMembers.length; hop += 1) {
-    const source = getFirstSource(weightViews.get(at.name)!, at, chunk);
+    const source = getFirstSource(weightViews.get(current.name)!, current, chunk);
     if (source === origin) return false;
-    at = source;
-    if (at.name === start.name) return true;
+    current = source;
+    if (current.name === start.name) return true;
   }
   return false;
 }
@@ -223,10 +223,10 @@
 Then(
   'over {int} chunks no first sources form a circle',
   function check(this: WeightTransferWorld, chunks: number) {
-    const circles = Array.from({ length: chunks }, (_, chunk) => chunk).filter((chunk) =>
+    const chunksWithCycle = Array.from({ length: chunks }, (_, chunk) => chunk).filter((chunk) =>
       this.weightMembers.some((member) => isInCycle(this, member, chunk)),
     );
-    assert.deepEqual(circles, []);
+    assert.deepEqual(chunksWithCycle, []);
   },
 );
 
--- a/features/steps/weightsScale.steps.ts
+++ b/features/steps/weightsScale.steps.ts
@@ -51,7 +51,7 @@
   const trees = timeOf(VirtualScheme.trees);
   Object.values(VirtualScheme)
     .filter((scheme) => scheme !== VirtualScheme.trees)
-    .forEach((scheme) => assert.ok(trees < timeOf(scheme), `${scheme} is as quick.`));
+    .forEach((scheme) => assert.ok(trees < timeOf(scheme), `${scheme} takes no longer.`));
 });
 
 Then('two runs have the same outcome', function check(this: WeightsScaleWorld) {
--- a/features/steps/wholeAnswers.steps.ts
+++ b/features/steps/wholeAnswers.steps.ts
@@ -16,20 +16,21 @@
 
 interface AnswersWorld {
   answering: ScriptedEndpoint;
-  /** Answers that a reader took for whole, and those that it did not, by framing and ending. */
-  taken: string[];
-  refused: string[];
+  /** Responses that a client returned as complete, as "FRAMING, ENDING". */
+  accepted: string[];
+  /** Responses that a client rejected as incomplete. */
+  rejected: string[];
   outcome: CallOutcome;
   failure: unknown;
 }
 
-/** Time for which a reader has paused, in milliseconds. */
+/** Time for which the reader pauses the connection, in milliseconds. */
 const pausedMs = 100;
 
 const abruptEndings = ['a reset before the end', 'a reset at once'];
 const delimited = Object.keys(framings).filter((framing) => !closeDelimited.includes(framing));
 
-/** Framings with the endings that cut them. */
+/** Pairs of a framing and an ending that truncates its body. */
 const truncatedResponses = [
   ...Object.keys(framings).flatMap((framing) =>
     abruptEndings.map((ending) => [framing, ending] as const),
@@ -38,7 +39,7 @@
   ...closeDelimited.map((framing) => [framing, 'a reset after many pieces'] as const),
 ];
 
-/** Framings with the endings that belong to them. */
+/** Pairs of a framing and an ending that completes its body. */
 const completeResponses = [
   ...delimited.map((framing) => [framing, 'all bytes'] as const),
   ...Object.keys(framings).map((framing) => [framing, 'a close'] as const),
@@ -49,15 +50,15 @@
   reader: string,
   answers: readonly (readonly [framing: string, ending: string])[],
 ): Promise<void> {
-  const { taken, refused } = Object.assign(world, { taken: [], refused: [] });
+  const { accepted, rejected } = Object.assign(world, { accepted: [], rejected: [] });
   for (const [framing, ending] of answers) {
     const endpoint = await ScriptedEndpoint.start((socket) =>
       sendScriptedResponse(socket, framing, ending, 'r1'),
     );
     const name = `${framing}, ${ending}`;
     await responseReaders[reader]!(endpoint.address).then(
-      (body) => taken.push(body === undefined || body === wholeBody ? name : `${name}: ${body}`),
-      (error: unknown) => refused.push(`${name}: ${String(error)}`),
+      (body) => accepted.push(body === undefined || body === wholeBody ? name : `${name}: ${body}`),
+      (error: unknown) => rejected.push(`${name}: ${String(error)}`),
     );
     endpoint.close();
   }
@@ -76,14 +77,14 @@
 });
 
 Then('it takes none of them for whole', function none(this: AnswersWorld) {
-  assert.deepEqual(this.taken, []);
-  assert.equal(this.refused.length, truncatedResponses.length);
+  assert.deepEqual(this.accepted, []);
+  assert.equal(this.rejected.length, truncatedResponses.length);
 });
 
 Then('it takes all of them for whole', function all(this: AnswersWorld) {
-  assert.deepEqual(this.refused, []);
+  assert.deepEqual(this.rejected, []);
   const names = completeResponses.map(([framing, ending]) => `${framing}, ${ending}`);
-  assert.deepEqual(this.taken, names);
+  assert.deepEqual(this.accepted, names);
 });
 
 When(
--- a/features/wholeAnswers.feature
+++ b/features/wholeAnswers.feature
@@ -1,6 +1,7 @@
 Feature: Whole answers
 
-  # Guards against an answer that is cut by a reset and reaches its reader as whole.
+  # A connection reset within a response must surface as an error; no client may return the partial
+  # body as complete.
   Scenario Outline: reset is no end
     When <reader> reads answers that are cut
     Then it takes none of them for whole
@@ -31,7 +32,7 @@
       | the client of an engine       |
       | the client of other agents    |
 
-  # Guards against a process that ends because an answer ends while its reader has paused.
+  # A response that ends while its reader has paused the connection must not crash the process.
   Scenario Outline: end while the reader has paused
     When an endpoint ends an answer with <framing> by <ending> while its reader has paused
     Then the paused call ends as <outcome>
@@ -47,7 +48,7 @@
       | chunks before close | a reset before the end   | truncated |
       | neither             | a reset before the end   | truncated |
 
-  # Guards against a whole answer without a body that is taken for a cut one.
+  # A response that has no body by definition must not be treated as truncated for lack of a length.
   Scenario Outline: answers without a body
     When an entry asks by <method> and gets <status> without a length
     Then it has a whole answer with status <status>
@@ -58,7 +59,7 @@
       | GET    | 304    |
       | HEAD   | 200    |
 
-  # Guards against an answer that goes to another request than its own.
+  # A late second response to a request must not be matched to the next request on the connection.
   Scenario Outline: second answer that comes late
     When an endpoint answers twice, <how>, and the second time late
     Then the next request on the connection gets <outcome>
@@ -72,7 +73,7 @@
     When an endpoint refuses the second request on a connection without an id
     Then that request has a refusal
 
-  # Guards against a stream that is cut within an event and ends as whole.
+  # A stream whose engine fails within an event must not end towards the caller as if complete.
   Scenario Outline: stream that is cut
     Given an entry on the platform with engines that <engines>
     When a caller sends a request to <route>
@@ -86,12 +87,12 @@
       | endsWithinEvent, streams  | stream | whole   |
       | endsUnframed              | single | whole   |
 
-  # Guards against a caller that can't tell a cut stream from a whole one.
+  # A caller without chunked encoding (HTTP/1.0) couldn't tell a truncated stream from a complete one.
   Scenario: caller that knows no chunks
     Given an entry on the platform with engines that streams
     Then a caller with HTTP/1.0 gets 505 for a stream and a whole answer otherwise
 
-  # Guards against a request that an endpoint gets with a part of its body.
+  # When a caller disconnects within its request body, no endpoint may receive the partial request.
   Scenario Outline: request that its caller cuts
     Given an entry on the platform with engines that answers
     When a caller sends half of a body <framing> and <ends>
