--- a/features/steps/admission.steps.ts
+++ b/features/steps/admission.steps.ts
@@ -7,8 +7,8 @@
 import { HttpModelEngine } from '@laburnumstream/clients';
 import { EngineStandIn } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
-import { AdmissionSimulation } from '../support/admissionHistory.js';
-import type { EndpointModel, AdmissionStep } from '../support/admissionHistory.js';
+import { AdmissionSimulation } from '../support/admissionSimulation.js';
+import type { EndpointModel, AdmissionStep } from '../support/admissionSimulation.js';
 
 const seed = 5;
 const runCount = 400;
--- a/features/steps/answerReview.steps.ts
+++ b/features/steps/answerReview.steps.ts
@@ -6,7 +6,7 @@
 import { platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { eventually } from '../support/assertions.js';
-import { getSecondOutcome } from '../support/answerReaders.js';
+import { getSecondOutcome } from '../support/responseReaders.js';
 import { sendRequest, sendRaw } from '../support/platformCaller.js';
 import type { CallerResponse } from '../support/platformCaller.js';
 import { PlatformFleet } from '../support/platformFleet.js';
--- a/features/steps/changeHistories.steps.ts
+++ b/features/steps/changeHistories.steps.ts
@@ -2,8 +2,8 @@
 import { Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import { CallFault } from '@laburnumstream/standins';
-import { findHistoryFaults, recordOutcome } from '../support/changeHistory.js';
-import type { ChangeOutcome } from '../support/changeHistory.js';
+import { findHistoryFaults, recordOutcome } from '../support/changeOutcomes.js';
+import type { ChangeOutcome } from '../support/changeOutcomes.js';
 import { EditingFleet } from '../support/editingFleet.js';
 import { createPatch } from './configuration.steps.js';
 
--- a/features/steps/configuration.steps.ts
+++ b/features/steps/configuration.steps.ts
@@ -11,8 +11,8 @@
 import type { Change, Effect } from '@laburnumstream/decisions';
 import { addException, applyChange } from '@laburnumstream/entry';
 import { CallFault } from '@laburnumstream/standins';
-import { recordOutcome } from '../support/changeHistory.js';
-import type { ChangeOutcome } from '../support/changeHistory.js';
+import { recordOutcome } from '../support/changeOutcomes.js';
+import type { ChangeOutcome } from '../support/changeOutcomes.js';
 import { EditingFleet } from '../support/editingFleet.js';
 
 const seed = 7;
--- a/features/steps/fairness.steps.ts
+++ b/features/steps/fairness.steps.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@laburnumstream/common';
 import { FairQueue, policyDefaults } from '@laburnumstream/decisions';
 import { HistogramMetrics } from '@laburnumstream/runtime';
-import { FairnessSimulation } from '../support/fairnessRun.js';
+import { FairnessSimulation } from '../support/fairnessSimulation.js';
 
 const seed = 7;
 const equalWeight = () => 1;
--- a/features/steps/forwarding.steps.ts
+++ b/features/steps/forwarding.steps.ts
@@ -16,8 +16,8 @@
 } from '@laburnumstream/decisions';
 import type { StreamEvent } from '@laburnumstream/decisions';
 import type { CallOutcome } from '@laburnumstream/forwarding';
-import { callEndpoint } from '../support/answerReaders.js';
-import { sendScriptedResponse, wholeBody } from '../support/scriptedAnswers.js';
+import { callEndpoint } from '../support/responseReaders.js';
+import { sendScriptedResponse, wholeBody } from '../support/scriptedResponses.js';
 import { ScriptedEndpoint } from '../support/scriptedEndpoint.js';
 
 interface ForwardingWorld {
--- a/features/steps/growth.steps.ts
+++ b/features/steps/growth.steps.ts
@@ -28,7 +28,7 @@
   testService,
   noopMetrics,
   noopLog,
-} from '../support/grownFleet.js';
+} from '../support/largeFleet.js';
 import { countVisits } from '../support/visits.js';
 
 /**
--- a/features/steps/misleadingEndpoints.steps.ts
+++ b/features/steps/misleadingEndpoints.steps.ts
@@ -2,7 +2,7 @@
 import { Then, When } from '@cucumber/cucumber';
 import { SeededRandom } from '@laburnumstream/common';
 import { AttemptSign, EndpointHealth } from '@laburnumstream/decisions';
-import { LargeFleet, anyEndpoint, createEndpoint, testService } from '../support/grownFleet.js';
+import { LargeFleet, anyEndpoint, createEndpoint, testService } from '../support/largeFleet.js';
 
 interface MisleadingWorld {
   health: EndpointHealth;
--- a/features/steps/sharedBounds.steps.ts
+++ b/features/steps/sharedBounds.steps.ts
@@ -5,8 +5,8 @@
 import fc from 'fast-check';
 import { EntryFleet } from '../support/entryFleet.js';
 import type { EntryFault } from '../support/entryFleet.js';
-import { runWatchHistory } from '../support/feedHistory.js';
-import type { WatchFault, WatchHistory, WatchObservations } from '../support/feedHistory.js';
+import { runWatchHistory } from '../support/watchHistory.js';
+import type { WatchFault, WatchHistory, WatchObservations } from '../support/watchHistory.js';
 import { platformBounds } from '../support/platformBounds.js';
 
 const propertySeed = 11;
--- a/features/steps/sidecar.steps.ts
+++ b/features/steps/sidecar.steps.ts
@@ -8,7 +8,7 @@
 import { Sidecar } from '@laburnumstream/sidecar';
 import { eventually } from '../support/assertions.js';
 import { platformBounds } from '../support/platformBounds.js';
-import { FaultyPieceOrigin } from '../support/pieceSource.js';
+import { FaultyPieceOrigin } from '../support/faultyPieceOrigin.js';
 import { StagingEngine, testVersion } from '../support/stagingEngine.js';
 
 const model = 'm1';
--- a/features/steps/spreadHistories.steps.ts
+++ b/features/steps/spreadHistories.steps.ts
@@ -3,9 +3,9 @@
 import fc from 'fast-check';
 import { VirtualFleet, revertsOf } from '@laburnumstream/bench';
 import { CallFault } from '@laburnumstream/standins';
-import { recordOutcome } from '../support/changeHistory.js';
-import type { ChangeOutcome } from '../support/changeHistory.js';
-import { findSpreadFaults } from '../support/spreadHistory.js';
+import { recordOutcome } from '../support/changeOutcomes.js';
+import type { ChangeOutcome } from '../support/changeOutcomes.js';
+import { findSpreadFaults } from '../support/spreadFaults.js';
 import { createPatch } from './configuration.steps.js';
 
 const seed = 20_262;
--- a/features/steps/wholeAnswers.steps.ts
+++ b/features/steps/wholeAnswers.steps.ts
@@ -5,13 +5,13 @@
 import { ResponseCollector, ConnectionPool, EndpointCall } from '@laburnumstream/forwarding';
 import { platformHeaders } from '@laburnumstream/platform';
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
-import { responseReaders, callEndpoint, getSecondOutcome } from '../support/answerReaders.js';
+import { responseReaders, callEndpoint, getSecondOutcome } from '../support/responseReaders.js';
 import {
   framings,
   sendScriptedResponse,
   closeDelimited,
   wholeBody,
-} from '../support/scriptedAnswers.js';
+} from '../support/scriptedResponses.js';
 import { ScriptedEndpoint } from '../support/scriptedEndpoint.js';
 
 interface AnswersWorld {
--- a/features/support/editingFleet.ts
+++ b/features/support/editingFleet.ts
@@ -4,7 +4,7 @@
 import { AuditTrail, ConfigurationEditor } from '@laburnumstream/entry';
 import type { Acceptance } from '@laburnumstream/entry';
 import { MemoryKeyValueStore, MemoryStoreContent, VirtualClock } from '@laburnumstream/standins';
-import { InMemoryConfigurationHolder } from './holder.js';
+import { InMemoryConfigurationHolder } from './inMemoryConfigurationHolder.js';
 
 /** Several configuration editors of one document, each with its own store client, in virtual time. */
 export class EditingFleet {
--- a/features/support/grownFleet.ts
+++ b/features/support/largeFleet.ts
@@ -3,7 +3,7 @@
 import { EndpointDirectory, FleetState, EntryCounts } from '@laburnumstream/forwarding';
 import type { Eligibility } from '@laburnumstream/forwarding';
 import { VirtualClock } from '@laburnumstream/standins';
-import { CountingRegionMap } from './countedRegions.js';
+import { CountingRegionMap } from './countingRegionMap.js';
 import { platformBounds } from './platformBounds.js';
 
 /** Log that discards its lines. */
--- a/features/support/spreadHistory.ts
+++ b/features/support/spreadFaults.ts
@@ -1,6 +1,6 @@
 import { revertsOf } from '@laburnumstream/bench';
 import type { VirtualFleet } from '@laburnumstream/bench';
-import type { ChangeOutcome } from './changeHistory.js';
+import type { ChangeOutcome } from './changeOutcomes.js';
 
 /**
  * Finds violations after all injected faults of a run have ended: processes whose revision went
--- a/features/support/feedHistory.ts
+++ b/features/support/watchHistory.ts
@@ -6,7 +6,7 @@
 import { HistogramMetrics } from '@laburnumstream/runtime';
 import { VirtualClock } from '@laburnumstream/standins';
 import { platformBounds } from './platformBounds.js';
-import { SuspendableClock } from './sleepingClock.js';
+import { SuspendableClock } from './suspendableClock.js';
 
 /** An interval in which store calls fail or are slow, or in which the instance is suspended. */
 export interface WatchFault {
