--- a/features/steps/changeHistories.steps.ts
+++ b/features/steps/changeHistories.steps.ts
@@ -2,21 +2,21 @@
 import { Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import { CallFault } from '@laburnumstream/standins';
-import { faultsOfHistory, tell } from '../support/changeHistory.js';
-import type { Told } from '../support/changeHistory.js';
+import { findHistoryFaults, recordOutcome } from '../support/changeOutcomes.js';
+import type { ChangeOutcome } from '../support/changeOutcomes.js';
 import { EditingFleet } from '../support/editingFleet.js';
-import { patchBy } from './configuration.steps.js';
+import { createPatch } from './configuration.steps.js';
 
 const seed = 20_261;
 const editors = 3;
-const longestPauseMs = 400;
+const maxPauseMs = 400;
 const settleMs = 30_000;
 const faults = [...Array<CallFault>(8).fill(CallFault.none), ...Object.values(CallFault)];
 
-/** One change of a history. */
+/** One configuration change of a history. */
 interface Step {
   readonly editor: number;
-  /** Changes of the same item are conflicts. */
+  /** Concurrent changes of the same item conflict. */
   readonly item: number;
   readonly pauseMs: number;
   readonly outageMs: number;
@@ -30,7 +30,7 @@
 const step: fc.Arbitrary<Step> = fc.record({
   editor: fc.nat(editors - 1),
   item: fc.nat(5),
-  pauseMs: fc.nat(longestPauseMs),
+  pauseMs: fc.nat(maxPauseMs),
   outageMs: fc.oneof({ weight: 9, arbitrary: fc.constant(0) }, fc.integer({ min: 1, max: 6_000 })),
 });
 const history = fc.record({
@@ -39,8 +39,8 @@
   callFaults: fc.infiniteStream(fc.constantFrom(...faults)),
 });
 
-async function runSteps(fleet: EditingFleet, steps: readonly Step[]): Promise<Told[]> {
-  const told: Promise<Told>[] = [];
+async function runSteps(fleet: EditingFleet, steps: readonly Step[]): Promise<ChangeOutcome[]> {
+  const pending: Promise<ChangeOutcome>[] = [];
   const { clock } = fleet;
   for (const [index, { editor, item, pauseMs, outageMs }] of steps.entries()) {
     const store = fleet.stores[editor]!;
@@ -52,26 +52,29 @@
     }
     const changeId = `change-${index}`;
     const services = { [`item-${item}`]: { kind: 'plain', nonIdempotentPaths: [`/${index}`] } };
-    told.push(
-      tell(changeId, fleet.start(patchBy(`author-${editor}`, { services }, changeId), editor)),
+    pending.push(
+      recordOutcome(
+        changeId,
+        fleet.start(createPatch(`author-${editor}`, { services }, changeId), editor),
+      ),
     );
     await clock.runUntil(clock.now() + pauseMs);
   }
-  const all = await clock.runUntilSettled(Promise.all(told));
+  const outcomes = await clock.runUntilSettled(Promise.all(pending));
   await clock.runUntil(clock.now() + settleMs);
-  return all;
+  return outcomes;
 }
 
 async function runHistories(count: number, checksConditions: boolean): Promise<HistoriesWorld> {
   const world: HistoriesWorld = { historyFaults: [], outcomes: new Map() };
-  const run = fc.asyncProperty(history, async ({ seed: of, steps, callFaults }) => {
-    const fleet = new EditingFleet(of, editors);
+  const run = fc.asyncProperty(history, async ({ seed: fleetSeed, steps, callFaults }) => {
+    const fleet = new EditingFleet(fleetSeed, editors);
     fleet.content.checksConditions = checksConditions;
     for (const store of fleet.stores)
       store.chooseFault = () => callFaults.next().value as CallFault;
-    const told = await runSteps(fleet, steps);
-    world.historyFaults.push(...faultsOfHistory(told, await fleet.trail()));
-    told.forEach(({ outcome }) => {
+    const outcomes = await runSteps(fleet, steps);
+    world.historyFaults.push(...findHistoryFaults(outcomes, await fleet.readAuditTrail()));
+    outcomes.forEach(({ outcome }) => {
       const kind = typeof outcome === 'number' ? 'accepted' : outcome;
       world.outcomes.set(kind, (world.outcomes.get(kind) ?? 0) + 1);
     });
--- a/features/steps/growth.steps.ts
+++ b/features/steps/growth.steps.ts
@@ -22,53 +22,60 @@
 import { VirtualClock } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
 import {
-  GrownFleet,
-  anywhere,
-  grownEndpoint,
-  grownService,
-  noMetrics,
-  quietLog,
-} from '../support/grownFleet.js';
+  LargeFleet,
+  anyEndpoint,
+  createEndpoint,
+  testService,
+  noopMetrics,
+  noopLog,
+} from '../support/largeFleet.js';
 import { countVisits } from '../support/visits.js';
 
+/**
+ * These scenarios guard against work per request, per datagram and per change that grows with the
+ * number of entries. They count operations instead of measuring time, so they don't depend on the
+ * machine.
+ */
 interface GrowthWorld {
-  /** Work of one choice, by the number of entries. */
-  work: Map<number, number>;
-  /** Endpoints that were asked for room, in each look. */
-  asked: number[];
-  placed: string[];
-  builds: number;
-  /** Times that the content of a datagram was read, by the number of receivers. */
-  reads: Map<number, number>;
-  received: Map<number, number>;
-  /** Calls of one entry's feed, by the number of entries. */
-  calls: Map<number, number>;
+  /** Operations of one endpoint choice, by the number of entries. */
+  workBySize: Map<number, number>;
+  /** Number of endpoints checked for free capacity, for each check. */
+  offeredCounts: number[];
+  /** Ids of the endpoints that requests were dispatched to. */
+  placedOn: string[];
+  routingTableBuilds: number;
+  /** Reads of a datagram's content while it is encoded, by the number of receivers. */
+  contentReads: Map<number, number>;
+  /** Delivered datagrams, by the number of receivers. */
+  deliveries: Map<number, number>;
+  /** Store calls of one entry's watch, by the number of entries. */
+  storeCalls: Map<number, number>;
 }
 
-const sizes = [10, 100, 700] as const;
-const many = 700;
+const entryCounts = [10, 100, 700] as const;
+const largestSize = 700;
 const demand = { promptTokens: 0, answerTokens: 0 };
-const idle = { running: 0, waiting: 0, slowdown: 1 };
+const idleReport = { running: 0, waiting: 0, pace: 1 };
 
-function workOf(measure: (entries: number) => number): Map<number, number> {
-  return new Map(sizes.map((entries) => [entries, measure(entries)]));
+function measureBySize(measure: (entries: number) => number): Map<number, number> {
+  return new Map(entryCounts.map((entries) => [entries, measure(entries)]));
 }
 
-function isFlat(work: ReadonlyMap<number, number>): void {
-  assert.equal(work.get(many), work.get(sizes[0]), JSON.stringify([...work]));
+function assertIndependentOfSize(work: ReadonlyMap<number, number>): void {
+  assert.equal(work.get(largestSize), work.get(entryCounts[0]), JSON.stringify([...work]));
 }
 
 When(
   '40 endpoints are asked for room with 10, 100 and 700 entries',
   function ask(this: GrowthWorld) {
-    this.work = workOf((entries) => {
-      const { directory, regions } = new GrownFleet(entries, 40);
+    this.workBySize = measureBySize((entries) => {
+      const { directory, regions } = new LargeFleet(entries, 40);
       const random = new SeededRandom(2);
       [...directory.all].forEach((handle) =>
-        handle.applyLoadReport(idle, directory.getCapacitySharers(handle.region), random, 0),
+        handle.applyLoadReport(idleReport, directory.getCapacitySharers(handle.region), random, 0),
       );
       regions.lookups = 0;
-      bestPlacement(directory.available(grownService, anywhere), demand, 0, random);
+      bestPlacement(directory.available(testService, anyEndpoint), demand, 0, random);
       return regions.lookups;
     });
   },
@@ -77,29 +84,31 @@
 Then(
   'the regions looked up are as many with 700 entries as with 10',
   function flat(this: GrowthWorld) {
-    isFlat(this.work);
+    assertIndependentOfSize(this.workBySize);
   },
 );
 
 When(
   'an endpoint with 10, 100 and 700 entries that told their loads is asked for room',
   function ask(this: GrowthWorld) {
-    this.work = workOf((entries) => {
+    this.workBySize = measureBySize((entries) => {
       const load = new EndpointLoad(() => entries, true);
-      load.applyReport(idle, 0, 3, 0);
+      load.applyReport(idleReport, 0, 3, 0);
       for (let entry = 0; entry < entries; entry += 1) {
         load.updatePeer(`front-${entry}`, { requests: 1, unreadMs: 2 }, 1);
       }
-      return countVisits(() => load.hasCapacity({ slots: many * 2, spare: 1, unreadMs: 1e6 }, 2));
+      return countVisits(() =>
+        load.hasCapacity({ slots: largestSize * 2, spare: 1, unreadMs: 1e6 }, 2),
+      );
     });
   },
 );
 
 Then('the loads read are as many with 700 entries as with 10', function flat(this: GrowthWorld) {
-  isFlat(this.work);
+  assertIndependentOfSize(this.workBySize);
 });
 
-const telling = fc.record({
+const loadUpdate = fc.record({
   entry: fc.integer({ min: 0, max: 6 }),
   requests: fc.integer({ min: 0, max: 9 }),
   unreadMs: fc.integer({ min: 0, max: 300 }),
@@ -109,11 +118,11 @@
 
 Then('sums of loads told equal those of the loads that are fresh, for any history', () => {
   fc.assert(
-    fc.property(fc.array(telling, { maxLength: 40 }), (tellings) => {
+    fc.property(fc.array(loadUpdate, { maxLength: 40 }), (updates) => {
       const loads = new PeerLoads();
       const last = new Map<number, { requests: number; unreadMs: number; at: number }>();
       let now = 0;
-      tellings.forEach(({ entry, requests, unreadMs, afterMs }) => {
+      updates.forEach(({ entry, requests, unreadMs, afterMs }) => {
         now += afterMs;
         loads.update(`front-${entry}`, { requests, unreadMs }, now);
         last.set(entry, { requests, unreadMs, at: now });
@@ -136,10 +145,10 @@
   );
 });
 
-function requestOf(id: string): PlacementRequest {
+function createRequest(id: string): PlacementRequest {
   return {
     id,
-    service: grownService,
+    service: testService,
     workspace: 'w',
     priority: 1,
     isCallerRetry: false,
@@ -148,14 +157,14 @@
     startBy: 5_000,
     demand,
     fairnessGroups: ['r'],
-    eligibility: anywhere,
+    eligibility: anyEndpoint,
     goalAt: 6_000,
     deadlineAt: 7_000,
   };
 }
 
-/** A choice of endpoints that notes how many are asked for room. */
-function notingChoice(
+/** Creates an endpoint source that records how many endpoints each check considers. */
+function createCountingSource(
   handles: readonly EndpointHandle[],
   hasRoom: (handle: EndpointHandle) => boolean,
   asked: number[],
@@ -171,37 +180,39 @@
 }
 
 When('a request is refused by a line with 700 endpoints', async function refuse(this: GrowthWorld) {
-  this.asked = [];
-  const { directory, clock } = new GrownFleet(7, many);
-  const choice = notingChoice([...directory.all], () => false, this.asked);
-  const line = new DispatchQueue(choice, clock, new SeededRandom(3), noMetrics, quietLog);
-  const late = { ...requestOf('late'), startBy: -1 };
-  await assert.rejects(line.place(late, new AbortController().signal), Unavailable);
+  this.offeredCounts = [];
+  const { directory, clock } = new LargeFleet(7, largestSize);
+  const source = createCountingSource([...directory.all], () => false, this.offeredCounts);
+  const queue = new DispatchQueue(source, clock, new SeededRandom(3), noopMetrics, noopLog);
+  const late = { ...createRequest('late'), startBy: -1 };
+  await assert.rejects(queue.place(late, new AbortController().signal), Unavailable);
 });
 
 Then('each endpoint was asked for room once', function once(this: GrowthWorld) {
-  assert.deepEqual(this.asked, [many]);
+  assert.deepEqual(this.offeredCounts, [largestSize]);
 });
 
 When(
   '20 requests wait for 700 endpoints and one of them gets room',
   async function wait(this: GrowthWorld) {
-    Object.assign(this, { asked: [], placed: [] });
-    const { directory, clock } = new GrownFleet(7, many);
+    Object.assign(this, { offeredCounts: [], placedOn: [] });
+    const { directory, clock } = new LargeFleet(7, largestSize);
     const open = new Set<EndpointHandle>();
     const handles = [...directory.all];
-    const choice = notingChoice(handles, (handle) => open.has(handle), this.asked);
-    const line = new DispatchQueue(choice, clock, new SeededRandom(3), noMetrics, quietLog);
+    const source = createCountingSource(handles, (handle) => open.has(handle), this.offeredCounts);
+    const queue = new DispatchQueue(source, clock, new SeededRandom(3), noopMetrics, noopLog);
     for (let index = 0; index < 20; index += 1) {
-      void line.place(requestOf(`r${index}`), new AbortController().signal).then(({ target }) => {
-        this.placed.push(target.id);
-        open.delete(target);
-      });
+      void queue
+        .place(createRequest(`r${index}`), new AbortController().signal)
+        .then(({ target }) => {
+          this.placedOn.push(target.id);
+          open.delete(target);
+        });
     }
     const free = handles[500]!;
     open.add(free);
-    this.asked.length = 0;
-    line.dispatch(grownService, free);
+    this.offeredCounts.length = 0;
+    queue.dispatch(testService, free);
     await Promise.resolve();
   },
 );
@@ -210,31 +221,31 @@
   'each request was compared with that endpoint only, and one was placed',
   function compared(this: GrowthWorld) {
     assert.ok(
-      this.asked.every((count) => count === 1),
-      `${Math.max(...this.asked)} at once`,
+      this.offeredCounts.every((count) => count === 1),
+      `${Math.max(...this.offeredCounts)} endpoints in one check`,
     );
-    assert.ok(this.asked.length <= 20, `${this.asked.length} looks`);
-    assert.ok(this.placed.length > 0 && this.placed.every((id) => id === 'e500'));
+    assert.ok(this.offeredCounts.length <= 20, `${this.offeredCounts.length} checks`);
+    assert.ok(this.placedOn.length > 0 && this.placedOn.every((id) => id === 'e500'));
   },
 );
 
 When(
   'one of 40 endpoints leaves while it runs a request, and the request ends',
   function leave(this: GrowthWorld) {
-    const { directory, state } = new GrownFleet(7, 40);
+    const { directory, state } = new LargeFleet(7, 40);
     const left = [...directory.all][5]!;
     state.removeEndpoint(left.id);
     directory.refresh();
-    this.placed = directory.available(grownService, anywhere, [left]).map(({ id }) => id);
+    this.placedOn = directory.available(testService, anyEndpoint, [left]).map(({ id }) => id);
   },
 );
 
 Then('no waiting request is placed there', function none(this: GrowthWorld) {
-  assert.deepEqual(this.placed, []);
+  assert.deepEqual(this.placedOn, []);
 });
 
-/** A store with a list that does not change, and the codec of its values. */
-function listOf(count: number): { store: StoreFeed; codec: FleetCodec } {
+/** Creates a store with `count` endpoints that never change, and the codec of its values. */
+function createStaticStore(count: number): { store: StoreFeed; codec: FleetCodec } {
   const values = Array.from({ length: count }, (_, index) => ({
     key: `${index}`,
     value: '',
@@ -251,13 +262,13 @@
     prefix: '',
     entryKey: (name) => name,
     encodeEntry: () => '',
-    decode: ({ key }) => ({ kind: 'endpoint', id: `e${key}`, endpoint: grownEndpoint(+key) }),
+    decode: ({ key }) => ({ kind: 'endpoint', id: `e${key}`, endpoint: createEndpoint(+key) }),
   };
   return { store, codec };
 }
 
-/** A feed of a state from a store. */
-function feedOf(
+/** Creates a watcher that applies the store's content to a fleet state. */
+function createWatcher(
   { store, codec }: { store: StoreFeed; codec: FleetCodec },
   state: FleetState,
   clock: VirtualClock,
@@ -271,32 +282,35 @@
     proof,
     proofClock,
     clock,
-    noMetrics,
-    quietLog,
+    noopMetrics,
+    noopLog,
     8_000,
   );
 }
 
 When('an entry reads a list with 700 endpoints', async function read(this: GrowthWorld) {
-  this.builds = 0;
+  this.routingTableBuilds = 0;
   const abort = new AbortController();
-  const state = new FleetState(noMetrics, quietLog, () => {
-    this.builds += 1;
+  const state = new FleetState(noopMetrics, noopLog, () => {
+    this.routingTableBuilds += 1;
   });
-  void feedOf(listOf(many), state, new VirtualClock()).run(abort.signal);
+  void createWatcher(createStaticStore(largestSize), state, new VirtualClock()).run(abort.signal);
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
   abort.abort();
-  assert.equal(state.endpoints.size, many);
+  assert.equal(state.endpoints.size, largestSize);
 });
 
 Then('its routing tables are built once', function once(this: GrowthWorld) {
-  assert.equal(this.builds, 1);
+  assert.equal(this.routingTableBuilds, 1);
 });
 
-/** Sends one datagram to some receivers on one port; returns how often its content was read. */
-async function readsOf(receivers: number, received: Map<number, number>): Promise<number> {
+/** Sends one datagram to several receivers; returns how often its content was read for encoding. */
+async function countContentReads(
+  receivers: number,
+  received: Map<number, number>,
+): Promise<number> {
   const abort = new AbortController();
   const clock = new SystemClock();
   const [port] = await freePorts(1);
@@ -305,9 +319,9 @@
     received.set(receivers, (received.get(receivers) ?? 0) + 1);
   };
   const binds = hosts.map((host) =>
-    new FleetDatagrams(host, { load }, clock, noMetrics, quietLog).bind(host, port!, abort.signal),
+    new FleetDatagrams(host, { load }, clock, noopMetrics, noopLog).bind(host, port!, abort.signal),
   );
-  const sender = new FleetDatagrams('front-0', {}, clock, noMetrics, quietLog);
+  const sender = new FleetDatagrams('front-0', {}, clock, noopMetrics, noopLog);
   await Promise.all([...binds, sender.bind('127.0.0.1', port!, abort.signal)]);
   let reads = 0;
   const value = {
@@ -323,24 +337,24 @@
 }
 
 When('the same is sent to 1 and to 11 other processes', async function send(this: GrowthWorld) {
-  this.received = new Map();
-  this.reads = new Map([
-    [1, await readsOf(1, this.received)],
-    [11, await readsOf(11, this.received)],
+  this.deliveries = new Map();
+  this.contentReads = new Map([
+    [1, await countContentReads(1, this.deliveries)],
+    [11, await countContentReads(11, this.deliveries)],
   ]);
 });
 
 Then('each receives it and it was encoded once for all', function once(this: GrowthWorld) {
-  assert.deepEqual([...this.received.values()], [1, 11]);
-  assert.ok(this.reads.get(1)! > 0);
-  assert.equal(this.reads.get(11), this.reads.get(1));
+  assert.deepEqual([...this.deliveries.values()], [1, 11]);
+  assert.ok(this.contentReads.get(1)! > 0);
+  assert.equal(this.contentReads.get(11), this.contentReads.get(1));
 });
 
-/** Calls in 10 s of one of some entries to a store that answers each watch with a change. */
-async function callsOf(entries: number): Promise<number> {
+/** Counts one entry's calls in 10 s to a store that responds to each watch after 20 ms with a change. */
+async function countStoreCalls(entries: number): Promise<number> {
   const abort = new AbortController();
-  const { clock, state } = new GrownFleet(entries, 1);
-  const { store, codec } = listOf(entries);
+  const { clock, state } = new LargeFleet(entries, 1);
+  const { store, codec } = createStaticStore(entries);
   let calls = 0;
   const changing: StoreFeed = {
     snapshot: (prefix, signal) => store.snapshot(prefix, signal),
@@ -350,12 +364,12 @@
       return { changes: [{ key: '0', value: '', revision: after + 1 }], revision: after + 1 };
     },
   };
-  const place = { host: '10.0.0.0', dataCentre: 'a' };
+  const location = { host: '10.0.0.0', dataCentre: 'a' };
   const registering: FleetCodec = {
     ...codec,
-    decode: ({ key }) => ({ kind: 'entry', name: `front-${key}`, location: place }),
+    decode: ({ key }) => ({ kind: 'entry', name: `front-${key}`, location }),
   };
-  void feedOf({ store: changing, codec: registering }, state, clock).run(abort.signal);
+  void createWatcher({ store: changing, codec: registering }, state, clock).run(abort.signal);
   await clock.runUntil(10_000);
   abort.abort();
   return calls;
@@ -364,9 +378,9 @@
 When(
   '7 and 38 entries follow a store with a change each 20 ms for 10 seconds',
   async function follow(this: GrowthWorld) {
-    this.calls = new Map([
-      [7, await callsOf(7)],
-      [38, await callsOf(38)],
+    this.storeCalls = new Map([
+      [7, await countStoreCalls(7)],
+      [38, await countStoreCalls(38)],
     ]);
   },
 );
@@ -374,7 +388,7 @@
 Then(
   'each of the 7 calls it at most 45 times and each of the 38 at most 25 times',
   function few(this: GrowthWorld) {
-    const [small = 0, grown = 0] = [...this.calls.values()];
+    const [small = 0, grown = 0] = [...this.storeCalls.values()];
     assert.ok(small > 30 && small <= 45, `${small} calls of 7 entries`);
     assert.ok(grown > 15 && grown <= 25, `${grown} calls of 38 entries`);
   },
--- a/features/steps/membership.steps.ts
+++ b/features/steps/membership.steps.ts
@@ -24,12 +24,12 @@
 
 interface MembershipWorld {
   memberView: Membership;
-  memberOther: Membership;
+  otherMemberView: Membership;
   memberNow: number;
-  memberAnswer: number;
+  returnedIncarnation: number;
 }
 
-function recordOf(name: string, fields: Partial<MemberRecord> = {}): MemberRecord {
+function createRecord(name: string, fields: Partial<MemberRecord> = {}): MemberRecord {
   return {
     name,
     role: 'agent',
@@ -46,7 +46,7 @@
   };
 }
 
-function compare(a: Membership, b: Membership, now: number): void {
+function exchangeRecords(a: Membership, b: Membership, now: number): void {
   a.changesAfter(0).records.forEach((record) => b.mergeRecord(record, now));
   b.changesAfter(0).records.forEach((record) => a.mergeRecord(record, now));
 }
@@ -59,15 +59,15 @@
 When(
   'member {word} sends heartbeat {int} as {word}',
   function beat(this: MembershipWorld, name: string, number: number, state: MemberState) {
-    this.memberView.recordHeartbeat(recordOf(name, { beat: number, state }), this.memberNow);
+    this.memberView.recordHeartbeat(createRecord(name, { beat: number, state }), this.memberNow);
   },
 );
 
 When(
   'member {word} sends heartbeat {int} of incarnation {int}',
   function beat(this: MembershipWorld, name: string, number: number, incarnation: number) {
-    const record = recordOf(name, { beat: number, incarnation });
-    this.memberAnswer = this.memberView.recordHeartbeat(record, this.memberNow);
+    const record = createRecord(name, { beat: number, incarnation });
+    this.returnedIncarnation = this.memberView.recordHeartbeat(record, this.memberNow);
   },
 );
 
@@ -79,7 +79,7 @@
 When(
   'another entry tells of heartbeat {int} of member {word}',
   function tell(this: MembershipWorld, beat: number, name: string) {
-    this.memberView.mergeRecord(recordOf(name, { beat }), this.memberNow);
+    this.memberView.mergeRecord(createRecord(name, { beat }), this.memberNow);
   },
 );
 
@@ -99,7 +99,7 @@
 Then(
   'the answer names incarnation {int} and the record rests on heartbeat {int}',
   function check(this: MembershipWorld, incarnation: number, beat: number) {
-    assert.equal(this.memberAnswer, incarnation);
+    assert.equal(this.returnedIncarnation, incarnation);
     assert.equal(this.memberView.get('agent-1')?.beat, beat);
   },
 );
@@ -125,15 +125,15 @@
 
 Given('two membership views that hear the same member', function views(this: MembershipWorld) {
   this.memberView = new Membership('north-a', bounds);
-  this.memberOther = new Membership('north-a', bounds);
-  this.memberView.recordHeartbeat(recordOf('agent-1', { beat: 1 }), 0);
-  this.memberOther.recordHeartbeat(recordOf('agent-1', { beat: 2 }), 0);
+  this.otherMemberView = new Membership('north-a', bounds);
+  this.memberView.recordHeartbeat(createRecord('agent-1', { beat: 1 }), 0);
+  this.otherMemberView.recordHeartbeat(createRecord('agent-1', { beat: 2 }), 0);
 });
 
 When('the first one no longer hears it', function cut(this: MembershipWorld) {
-  this.memberView.recordHeartbeat(recordOf('agent-1', { beat: 3 }), 0);
+  this.memberView.recordHeartbeat(createRecord('agent-1', { beat: 3 }), 0);
   for (let beat = 4; beat < 9; beat += 1) {
-    this.memberOther.recordHeartbeat(recordOf('agent-1', { beat }), beat * 500);
+    this.otherMemberView.recordHeartbeat(createRecord('agent-1', { beat }), beat * 500);
   }
   this.memberNow = 4_000;
   this.memberView.sweep(this.memberNow);
@@ -143,9 +143,9 @@
 Then(
   'the member is alive for both after they have compared',
   function check(this: MembershipWorld) {
-    compare(this.memberView, this.memberOther, this.memberNow);
-    compare(this.memberView, this.memberOther, this.memberNow);
-    [this.memberView, this.memberOther].forEach((view) => {
+    exchangeRecords(this.memberView, this.otherMemberView, this.memberNow);
+    exchangeRecords(this.memberView, this.otherMemberView, this.memberNow);
+    [this.memberView, this.otherMemberView].forEach((view) => {
       view.sweep(this.memberNow + 100);
       assert.equal(view.status('agent-1', this.memberNow + 100), MemberStatus.alive);
     });
@@ -155,7 +155,7 @@
 When(
   'a member of south-a is known and south-a is silent for {int} ms',
   function silent(this: MembershipWorld, ms: number) {
-    this.memberView.mergeRecord(recordOf('agent-2', { dataCentre: 'south-a' }), 0);
+    this.memberView.mergeRecord(createRecord('agent-2', { dataCentre: 'south-a' }), 0);
     this.memberView.confirmDataCentre('south-a', 0, 0);
     assert.equal(this.memberView.status('agent-2', 0), MemberStatus.alive);
     this.memberNow = ms;
@@ -185,8 +185,8 @@
   waitMs: fc.nat(2_500),
 });
 
-/** Plays a history and returns its views; `check` sees every view after each event. */
-function play(
+/** Applies a history to three views and returns them; `check` runs after each event. */
+function runHistory(
   events: readonly HistoryEvent[],
   check: (views: readonly Membership[], left: ReadonlyMap<string, number>) => void,
 ): { views: Membership[]; now: number } {
@@ -205,11 +205,14 @@
       self.beat += 1;
       const { incarnation, beat } = self;
       const state = self.leaving ? MemberState.leaving : MemberState.alive;
-      views[view]!.recordHeartbeat(recordOf(`agent-${member}`, { incarnation, beat, state }), now);
+      views[view]!.recordHeartbeat(
+        createRecord(`agent-${member}`, { incarnation, beat, state }),
+        now,
+      );
       if (self.leaving) left.set(`${view} agent-${member}`, incarnation);
     }
-    const told = views[view]!.changesAfter(0).records;
-    if (kind === 'tell') told.forEach((record) => views[other]!.mergeRecord(record, now));
+    const known = views[view]!.changesAfter(0).records;
+    if (kind === 'tell') known.forEach((record) => views[other]!.mergeRecord(record, now));
     views.forEach((each) => each.sweep(now));
     check(views, left);
   });
@@ -218,9 +221,9 @@
 
 Then('views agree after comparing, whatever was lost, repeated or late', () => {
   const property = fc.property(fc.array(historyEvent, { maxLength: 60 }), (events) => {
-    const { views, now } = play(events, () => undefined);
+    const { views, now } = runHistory(events, () => undefined);
     for (let round = 0; round < 3; round += 1) {
-      views.forEach((a) => views.forEach((b) => compare(a, b, now)));
+      views.forEach((a) => views.forEach((b) => exchangeRecords(a, b, now)));
     }
     const states = views.map((view) =>
       view.presentRecords().map(({ name, incarnation, state }) => [name, incarnation, state]),
@@ -235,7 +238,7 @@
 
 Then('no view takes a leaving member for alive again', () => {
   const property = fc.property(fc.array(historyEvent, { maxLength: 60 }), (events) => {
-    play(events, (views, left) => {
+    runHistory(events, (views, left) => {
       left.forEach((incarnation, key) => {
         const [view = '0', name = ''] = key.split(' ');
         const record = views[Number(view)]!.get(name);
@@ -247,21 +250,21 @@
   fc.assert(property, { seed, numRuns: 500 });
 });
 
-const centreCount = 6;
+const dataCentreCount = 6;
 
-function peers(count: number, prefix: string): Peer[] {
+function createPeers(count: number, prefix: string): Peer[] {
   return Array.from({ length: count }, (_, index) => ({
     name: `${prefix}-${index}`,
     region: `region-${index % 2}`,
-    dataCentre: `dc-${index % centreCount}`,
+    dataCentre: `dc-${index % dataCentreCount}`,
     address: `http://127.0.0.1:${index}`,
   }));
 }
 
 Then('760 agents spread evenly over the entries of their data centres', () => {
-  const entries = peers(370, 'entry');
+  const entries = createPeers(370, 'entry');
   const load = new Map<string, number>();
-  peers(760, 'agent').forEach((agent) => {
+  createPeers(760, 'agent').forEach((agent) => {
     const observers = chooseObservers(agent, entries, 3);
     assert.equal(observers.length, 3);
     observers.forEach(({ name, dataCentre }) => {
@@ -271,13 +274,13 @@
   });
   const most = Math.max(...load.values());
   // 760 agents with 3 observers each over 370 entries: 6.2 on average.
-  assert.ok(most <= 18, `${most} agents beat to one entry`);
+  assert.ok(most <= 18, `${most} agents send heartbeats to one entry`);
 });
 
 Then(
   "every entry is some other's partner and news reach all within {int} rounds",
   (rounds: number) => {
-    const entries = peers(370, 'entry');
+    const entries = createPeers(370, 'entry');
     const own = entries.filter(({ dataCentre }) => dataCentre === 'dc-0');
     const partners = new Map(own.map((entry) => [entry.name, choosePartners(entry, entries, 3)]));
     const chosen = new Set([...partners.values()].flat().map(({ name }) => name));
--- a/features/steps/platformPrograms.steps.ts
+++ b/features/steps/platformPrograms.steps.ts
@@ -11,20 +11,24 @@
 import { HistogramMetrics, SystemClock } from '@laburnumstream/runtime';
 import { PlatformStore } from '@laburnumstream/standins';
 import { eventually } from '../support/assertions.js';
-import { PlatformFleet, configurationOf, modelConfiguration } from '../support/platformFleet.js';
+import {
+  PlatformFleet,
+  createConfiguration,
+  createModelConfiguration,
+} from '../support/platformFleet.js';
 
 interface ProgramsWorld {
   programStore: PlatformStore;
   programLines: SettingsLines;
   program: PlatformProgram;
-  feedAbort: AbortController;
-  feedState: FleetState;
+  watcherAbort: AbortController;
+  fleetState: FleetState;
   returnedAt: number;
   platform: PlatformFleet;
-  heardVersions: number[];
+  receivedVersions: number[];
 }
 
-const quiet = {
+const silentLog = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
@@ -32,11 +36,11 @@
 };
 const clock = new SystemClock();
 
-async function statusOf(url: string): Promise<number> {
+async function fetchStatus(url: string): Promise<number> {
   try {
     return (await fetch(url)).status;
   } catch {
-    // The program does not listen yet.
+    // The program isn't listening yet.
     return 0;
   }
 }
@@ -44,14 +48,14 @@
 After(function close(this: Partial<ProgramsWorld>) {
   this.program?.close();
   this.programStore?.close();
-  this.feedAbort?.abort();
+  this.watcherAbort?.abort();
 });
 
 Given(
   /^a settings file of an entry(?: without the line (\S+))?$/,
   async function settings(this: ProgramsWorld, missing: string | null) {
     this.programStore = await PlatformStore.start();
-    this.programStore.write('op/config', configurationOf(1, ['key-1']));
+    this.programStore.write('op/config', createConfiguration(1, ['key-1']));
     this.programLines = await makeEntrySettings(this.programStore.address);
     if (missing) delete this.programLines[missing];
     this.program = new PlatformProgram();
@@ -77,7 +81,7 @@
   'it gets SIGHUP with a settings file that is broken',
   async function reload(this: ProgramsWorld) {
     const ready = `http://${this.programLines['Listen.Ready']}/`;
-    await eventually(async () => (await statusOf(ready)) === 200, 'the entry is ready');
+    await eventually(async () => (await fetchStatus(ready)) === 200, 'the entry is ready');
     this.program.write({ ...this.programLines, HeartbeatMs: 'often' });
     this.program.signal('SIGHUP');
     await sleep(300);
@@ -85,7 +89,7 @@
 );
 
 Then('it still says that it is ready', async function ready(this: ProgramsWorld) {
-  assert.equal(await statusOf(`http://${this.programLines['Listen.Ready']}/`), 200);
+  assert.equal(await fetchStatus(`http://${this.programLines['Listen.Ready']}/`), 200);
 });
 
 Then('its metrics are served', async function metrics(this: ProgramsWorld) {
@@ -103,23 +107,23 @@
   },
 );
 
-/** Starts a feed of the world's store. */
-function startFeed(world: ProgramsWorld): void {
-  Object.assign(world, { feedAbort: new AbortController() });
+/** Starts a watcher that applies the store's content to `world.fleetState`. */
+function startWatcher(world: ProgramsWorld): void {
+  Object.assign(world, { watcherAbort: new AbortController() });
   const metrics = new HistogramMetrics();
-  Object.assign(world, { feedState: new FleetState(metrics, quiet, () => undefined) });
-  const feed = new FleetWatcher(
+  Object.assign(world, { fleetState: new FleetState(metrics, silentLog, () => undefined) });
+  const watcher = new FleetWatcher(
     new StoreClient(world.programStore.address),
     storeCodec,
-    world.feedState,
+    world.fleetState,
     new ConfigurationFreshness(4_600, 2_500),
     new SleepAwareClock(clock),
     clock,
     metrics,
-    quiet,
+    silentLog,
     8_000,
   );
-  void feed.run(world.feedAbort.signal);
+  void watcher.run(world.watcherAbort.signal);
 }
 
 Given(
@@ -128,18 +132,18 @@
     this.programStore = await PlatformStore.start();
     this.programStore.write('op/version/m', { Model: 'm', Version: 2 });
     this.programStore.forcedStatus = 503;
-    startFeed(this);
+    startWatcher(this);
     await sleep(500);
     this.programStore.forcedStatus = undefined;
     this.returnedAt = clock.now();
-    await eventually(() => this.feedState.namedVersions('m')?.newest === 2, 'version 2 is known');
+    await eventually(() => this.fleetState.namedVersions('m')?.newest === 2, 'version 2 is known');
   },
 );
 
 Then(
   "the version counts as named at least 5.5 seconds before the store's return",
   function nearlyDue(this: ProgramsWorld) {
-    const namedAt = this.feedState.namedVersions('m')!.namedAt(2)!;
+    const namedAt = this.fleetState.namedVersions('m')!.namedAt(2)!;
     assert.ok(this.returnedAt - namedAt >= 5_500, `${this.returnedAt - namedAt} ms before`);
   },
 );
@@ -149,22 +153,22 @@
   async function feed(this: ProgramsWorld) {
     this.programStore = await PlatformStore.start();
     this.programStore.write('op/version/m', { Model: 'm', Version: 1 });
-    startFeed(this);
-    await eventually(() => this.feedState.namedVersions('m')?.newest === 1, 'version 1 is known');
+    startWatcher(this);
+    await eventually(() => this.fleetState.namedVersions('m')?.newest === 1, 'version 1 is known');
     this.programStore.forcedStatus = 503;
     await sleep(1_200);
     this.programStore.write('op/version/m', { Model: 'm', Version: 2 });
     await sleep(800);
     this.programStore.forcedStatus = undefined;
     this.returnedAt = clock.now();
-    await eventually(() => this.feedState.namedVersions('m')?.newest === 2, 'version 2 is known');
+    await eventually(() => this.fleetState.namedVersions('m')?.newest === 2, 'version 2 is known');
   },
 );
 
 Then(
   "the version counts as named not more than 1 second before the store's return",
   function counted(this: ProgramsWorld) {
-    const namedAt = this.feedState.namedVersions('m')!.namedAt(2)!;
+    const namedAt = this.fleetState.namedVersions('m')!.namedAt(2)!;
     assert.ok(namedAt >= this.returnedAt - 1_000, `${this.returnedAt - namedAt} ms before`);
   },
 );
@@ -178,7 +182,7 @@
       ['b', 's'],
     ]),
   });
-  store.write('op/config', modelConfiguration(1));
+  store.write('op/config', createModelConfiguration(1));
   store.write('op/version/m', { Model: 'm', Version: 1 });
   store.write('servers/far', {
     Service: 'model',
@@ -189,19 +193,19 @@
     layers: { From: 0, To: 16, Version: 1 },
     born: 1,
   });
-  this.heardVersions = [];
-  this.feedAbort = new AbortController();
+  this.receivedVersions = [];
+  this.watcherAbort = new AbortController();
   const agent = new FleetDatagrams(
     'side-1',
-    { fleet: ({ weights }) => weights && this.heardVersions.push(weights.version) },
+    { fleet: ({ weights }) => weights && this.receivedVersions.push(weights.version) },
     clock,
     new HistogramMetrics(),
-    quiet,
+    silentLog,
   );
-  await agent.bind('127.0.0.3', settings.firstPort, this.feedAbort.signal);
+  await agent.bind('127.0.0.3', settings.firstPort, this.watcherAbort.signal);
   await this.platform.startEntry();
   await eventually(
-    () => this.platform.lines.some(({ message }) => message === 'registration: Registered.'),
+    () => this.platform.logEntries.some(({ message }) => message === 'registration: Registered.'),
     'the entry is registered',
   );
 });
@@ -211,17 +215,21 @@
 });
 
 Then('the agent hears of it within 2 seconds', async function hears(this: ProgramsWorld) {
-  await eventually(() => this.heardVersions.includes(2), 'the agent hears of version 2', 2_000);
+  await eventually(
+    () => this.receivedVersions.includes(2),
+    'the agent is informed of version 2',
+    2_000,
+  );
 });
 
 Then(
   'a datagram that is sent after its socket has closed is dropped',
   async function dropped(this: ProgramsWorld) {
-    this.feedAbort = new AbortController();
+    this.watcherAbort = new AbortController();
     const metrics = new HistogramMetrics();
-    const datagrams = new FleetDatagrams('front-1', {}, clock, metrics, quiet);
-    await datagrams.bind('127.0.0.1', 0, this.feedAbort.signal);
-    this.feedAbort.abort();
+    const datagrams = new FleetDatagrams('front-1', {}, clock, metrics, silentLog);
+    await datagrams.bind('127.0.0.1', 0, this.watcherAbort.signal);
+    this.watcherAbort.abort();
     const content = { case: 'fleet', value: { reportEveryMs: 300 } } as const;
     assert.doesNotThrow(() => datagrams.send(content, '127.0.0.1'));
   },
--- a/features/steps/proof.steps.ts
+++ b/features/steps/proof.steps.ts
@@ -4,12 +4,12 @@
 import { Then, When } from '@cucumber/cucumber';
 import { benchNames, isApplicable, mutations } from '@laburnumstream/bench';
 import type { Mutation } from '@laburnumstream/bench';
-import { proofRows, proofStates } from '../support/proofTable.js';
+import { parseProofRows, proofStates } from '../support/proofTable.js';
 import type { ProofRow } from '../support/proofTable.js';
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 
-/** Beginnings of the nine points under "What must always hold". */
+/** Prefixes of the nine points under "What must always hold". */
 const points = [
   'No instance ever serves partial or mixed weights',
   'An endpoint just after a cold start',
@@ -41,7 +41,7 @@
 }
 
 When('docs\\/PROOF.md is read', function read(this: ProofWorld) {
-  this.proofRows = proofRows(readFileSync(`${root}docs/PROOF.md`, 'utf8'));
+  this.proofRows = parseProofRows(readFileSync(`${root}docs/PROOF.md`, 'utf8'));
   assert.ok(this.proofRows.length > 0);
 });
 
--- a/features/steps/spread.steps.ts
+++ b/features/steps/spread.steps.ts
@@ -4,7 +4,7 @@
 import type { VirtualEntry } from '@laburnumstream/bench';
 import { rendezvousOrder } from '@laburnumstream/common';
 import { configurationKey, parseConfiguration } from '@laburnumstream/decisions';
-import { patchBy } from './configuration.steps.js';
+import { createPatch } from './configuration.steps.js';
 
 const seed = 11;
 const secondMs = 1_000;
@@ -12,33 +12,33 @@
 
 interface SpreadWorld {
   virtual: VirtualFleet;
-  struck: VirtualEntry[];
+  faultyEntries: VirtualEntry[];
   callsBefore: number;
 }
 
-/** Patches that differ from each other. */
-function nextPatch(fleet: VirtualFleet) {
+/** Creates a patch that differs from all earlier ones. */
+function createNextPatch(fleet: VirtualFleet) {
   const revision = Math.max(...fleet.entries.map(({ keeper }) => keeper.configuration.revision));
   const id = `change-${revision}-${fleet.clock.now()}`;
-  return patchBy('ann', { defaults: { maxQueue: revision + 100 } }, id);
+  return createPatch('ann', { defaults: { maxQueue: revision + 100 } }, id);
 }
 
-/** An entry outside the data centre that the faults strike. */
-function editorOf({ entries }: VirtualFleet): VirtualEntry {
+/** Finds a running entry outside the data centre that faults are injected into. */
+function findEditor({ entries }: VirtualFleet): VirtualEntry {
   return entries.find(
     ({ instance, isResponsive: answers }) => answers && instance.dataCentre !== dataCentre,
   )!;
 }
 
-function entriesThere({ entries }: VirtualFleet): VirtualEntry[] {
+function getFaultyEntries({ entries }: VirtualFleet): VirtualEntry[] {
   return entries.filter(({ instance }) => instance.dataCentre === dataCentre);
 }
 
-function watchersThere(fleet: VirtualFleet): VirtualEntry[] {
-  return entriesThere(fleet).filter(({ spreader }) => spreader.isWatching);
+function getFaultyWatchers(fleet: VirtualFleet): VirtualEntry[] {
+  return getFaultyEntries(fleet).filter(({ spreader }) => spreader.isWatching);
 }
 
-function stored({ content }: VirtualFleet) {
+function readStored({ content }: VirtualFleet) {
   return parseConfiguration(content.values.get(configurationKey)?.value ?? '{}');
 }
 
@@ -47,9 +47,9 @@
   async function start(this: SpreadWorld, entries: number, agents: number, dataCentres: number) {
     this.virtual = new VirtualFleet({ seed, entries, agents, dataCentres });
     await this.virtual.advance(3 * secondMs);
-    await this.virtual.applyChange(nextPatch(this.virtual), this.virtual.entries[0]!);
+    await this.virtual.applyChange(createNextPatch(this.virtual), this.virtual.entries[0]!);
     await this.virtual.advance(5 * secondMs);
-    this.struck = [];
+    this.faultyEntries = [];
   },
 );
 
@@ -76,7 +76,7 @@
   'a change is in force everywhere within {int} second(s)',
   async function check(this: SpreadWorld, seconds: number) {
     const { virtual } = this;
-    const revision = await virtual.applyChange(nextPatch(virtual), editorOf(virtual));
+    const revision = await virtual.applyChange(createNextPatch(virtual), findEditor(virtual));
     await virtual.advance(seconds * secondMs);
     const behind = virtual.entries.filter(
       ({ isResponsive: answers, keeper }) => answers && keeper.configuration.revision < revision,
@@ -89,42 +89,44 @@
 );
 
 When('the watchers of a data centre are killed', function kill(this: SpreadWorld) {
-  watchersThere(this.virtual).forEach((entry) => entry.kill());
+  getFaultyWatchers(this.virtual).forEach((entry) => entry.kill());
 });
 
 When('the watchers of a data centre freeze', function freeze(this: SpreadWorld) {
-  this.struck = watchersThere(this.virtual);
-  this.struck.forEach(({ clock }) => clock.freeze());
+  this.faultyEntries = getFaultyWatchers(this.virtual);
+  this.faultyEntries.forEach(({ clock }) => clock.freeze());
 });
 
 Then(
   'the frozen entries take it within {int} seconds after they wake',
   async function check(this: SpreadWorld, seconds: number) {
-    const { revision } = stored(this.virtual);
-    this.struck.forEach(({ clock }) => clock.thaw());
+    const { revision } = readStored(this.virtual);
+    this.faultyEntries.forEach(({ clock }) => clock.thaw());
     await this.virtual.advance(seconds * secondMs);
-    this.struck.forEach(({ keeper }) => assert.equal(keeper.configuration.revision, revision));
+    this.faultyEntries.forEach(({ keeper }) =>
+      assert.equal(keeper.configuration.revision, revision),
+    );
   },
 );
 
-/** Cuts entries off from the store. */
-function loseStore(entries: readonly VirtualEntry[], isDown = true): void {
+/** Makes the store unreachable for entries, or reachable again. */
+function setStoreDown(entries: readonly VirtualEntry[], isDown = true): void {
   entries.forEach(({ store }) => Object.assign(store, { isDown }));
 }
 
 When('the watchers of a data centre lose the store', function lose(this: SpreadWorld) {
-  loseStore(watchersThere(this.virtual));
+  setStoreDown(getFaultyWatchers(this.virtual));
 });
 
 When('all entries of a data centre lose the store', function lose(this: SpreadWorld) {
-  loseStore(entriesThere(this.virtual));
+  setStoreDown(getFaultyEntries(this.virtual));
 });
 
 When(
   "the first {int} entries of a data centre's order are killed",
   function kill(this: SpreadWorld, count: number) {
     const nameOf = ({ instance }: VirtualEntry): string => instance.name;
-    const order = rendezvousOrder(`watch/${dataCentre}`, entriesThere(this.virtual), nameOf);
+    const order = rendezvousOrder(`watch/${dataCentre}`, getFaultyEntries(this.virtual), nameOf);
     order.slice(0, count).forEach((entry) => entry.kill());
   },
 );
@@ -135,19 +137,19 @@
 });
 
 When('the store is down and an entry restarts', async function restart(this: SpreadWorld) {
-  loseStore(this.virtual.entries);
+  setStoreDown(this.virtual.entries);
   await this.virtual.advance(10 * secondMs);
   const started = this.virtual.restart(this.virtual.entries[7]!);
-  loseStore([started]);
-  this.struck = [started];
+  setStoreDown([started]);
+  this.faultyEntries = [started];
 });
 
 Then(
   'it has the newest revision within {int} second',
   async function check(this: SpreadWorld, seconds: number) {
     await this.virtual.advance(seconds * secondMs);
-    const { revision } = stored(this.virtual);
-    assert.equal(this.struck[0]!.keeper.configuration.revision, revision);
+    const { revision } = readStored(this.virtual);
+    assert.equal(this.faultyEntries[0]!.keeper.configuration.revision, revision);
   },
 );
 
@@ -155,7 +157,7 @@
   const { virtual } = this;
   const older = virtual.content.snapshot();
   for (let index = 0; index < n; index += 1) {
-    await virtual.applyChange(nextPatch(virtual), editorOf(virtual));
+    await virtual.applyChange(createNextPatch(virtual), findEditor(virtual));
     await virtual.advance(2 * secondMs);
   }
   virtual.content.restore(older);
@@ -165,7 +167,7 @@
   'no process goes back and the store has the newest revision within {int} seconds',
   async function check(this: SpreadWorld, seconds: number) {
     await this.virtual.advance(seconds * secondMs);
-    const { revision } = stored(this.virtual);
+    const { revision } = readStored(this.virtual);
     assert.equal(revision, 3);
     this.virtual.entries.forEach(({ keeper }) =>
       assert.equal(keeper.configuration.revision, revision),
@@ -185,7 +187,7 @@
   function check(this: SpreadWorld, most: number) {
     const calls = this.virtual.content.calls - this.callsBefore;
     assert.ok(calls <= most, `${calls} calls`);
-    const { revision } = stored(this.virtual);
+    const { revision } = readStored(this.virtual);
     this.virtual.entries.forEach(({ keeper }) =>
       assert.equal(keeper.configuration.revision, revision),
     );
@@ -193,7 +195,7 @@
 );
 
 When('the store is down for {int} seconds', async function down(this: SpreadWorld, n: number) {
-  loseStore(this.virtual.entries);
+  setStoreDown(this.virtual.entries);
   await this.virtual.advance(n * secondMs);
 });
 
@@ -203,8 +205,8 @@
     const { virtual } = this;
     const watching = virtual.entries.filter(({ spreader }) => spreader.isWatching);
     assert.ok(watching.length <= most, `${watching.length} watch`);
-    loseStore(virtual.entries, false);
-    const revision = await virtual.applyChange(nextPatch(virtual), editorOf(virtual));
+    setStoreDown(virtual.entries, false);
+    const revision = await virtual.applyChange(createNextPatch(virtual), findEditor(virtual));
     await virtual.advance(seconds * secondMs);
     virtual.entries.forEach(({ keeper }) => assert.equal(keeper.configuration.revision, revision));
     assertWatchers(virtual, 6);
--- a/features/steps/spreadHistories.steps.ts
+++ b/features/steps/spreadHistories.steps.ts
@@ -3,18 +3,18 @@
 import fc from 'fast-check';
 import { VirtualFleet, countReverts } from '@laburnumstream/bench';
 import { CallFault } from '@laburnumstream/standins';
-import { tell } from '../support/changeHistory.js';
-import type { Told } from '../support/changeHistory.js';
-import { faultsOfSpread } from '../support/spreadHistory.js';
-import { patchBy } from './configuration.steps.js';
+import { recordOutcome } from '../support/changeOutcomes.js';
+import type { ChangeOutcome } from '../support/changeOutcomes.js';
+import { findSpreadFaults } from '../support/spreadFaults.js';
+import { createPatch } from './configuration.steps.js';
 
 const seed = 20_262;
 const shape = { entries: 24, agents: 12, dataCentres: 3 };
-const healMs = 20_000;
-const longestPauseMs = 1_500;
-const longestFaultMs = 12_000;
+const recoveryMs = 20_000;
+const maxPauseMs = 1_500;
+const maxFaultMs = 12_000;
 
-/** What happens to a fleet at one step; each undoes itself after a time. */
+/** Faults that a step can inject; each ends by itself after some time. */
 const faults = {
   none: () => undefined,
   restart: (fleet: VirtualFleet, index: number) => {
@@ -49,10 +49,10 @@
 const step = fc.record({
   fault: fc.constantFrom(...(Object.keys(faults) as (keyof typeof faults)[])),
   faulty: fc.nat(shape.entries - 1),
-  faultMs: fc.integer({ min: 1_000, max: longestFaultMs }),
+  faultMs: fc.integer({ min: 1_000, max: maxFaultMs }),
   editor: fc.nat(shape.entries - 1),
   item: fc.nat(3),
-  pauseMs: fc.nat(longestPauseMs),
+  pauseMs: fc.nat(maxPauseMs),
 });
 const history = fc.record({
   seed: fc.nat(),
@@ -70,35 +70,35 @@
   editor: number,
   item: number,
   changeId: string,
-): Promise<Told> {
+): Promise<ChangeOutcome> {
   const services = { [`item-${item}`]: { kind: 'plain', nonIdempotentPaths: [`/${changeId}`] } };
   const entry = fleet.entries[editor]!;
-  const change = patchBy(`author-${editor}`, { services }, changeId);
+  const change = createPatch(`author-${editor}`, { services }, changeId);
   const applied = entry.editor.apply(change, new AbortController().signal);
-  // A killed process tells nobody anything.
-  return tell(changeId, applied).then((told) =>
-    entry.isAlive ? told : { changeId, outcome: 'acceptance_unknown' },
+  // The author of a change gets no response from a process that was killed.
+  return recordOutcome(changeId, applied).then((outcome) =>
+    entry.isAlive ? outcome : { changeId, outcome: 'acceptance_unknown' },
   );
 }
 
 async function runHistory(
-  { seed: of, steps }: typeof history extends fc.Arbitrary<infer Value> ? Value : never,
+  { seed: fleetSeed, steps }: typeof history extends fc.Arbitrary<infer Value> ? Value : never,
   checksConditions: boolean,
-): Promise<{ faults: string[]; told: Told[] }> {
-  const fleet = new VirtualFleet({ seed: of, ...shape });
+): Promise<{ faults: string[]; outcomes: ChangeOutcome[] }> {
+  const fleet = new VirtualFleet({ seed: fleetSeed, ...shape });
   fleet.content.checksConditions = checksConditions;
   await fleet.advance(1_000);
-  const telling: Promise<Told>[] = [];
+  const pending: Promise<ChangeOutcome>[] = [];
   for (const [index, { fault, faulty, faultMs, editor, item, pauseMs }] of steps.entries()) {
     faults[fault](fleet, faulty, faultMs);
-    telling.push(startChange(fleet, editor, item, `change-${index}-a`));
-    telling.push(startChange(fleet, (editor + 1) % shape.entries, item, `change-${index}-b`));
+    pending.push(startChange(fleet, editor, item, `change-${index}-a`));
+    pending.push(startChange(fleet, (editor + 1) % shape.entries, item, `change-${index}-b`));
     await fleet.advance(pauseMs);
   }
-  await fleet.advance(longestFaultMs);
-  const told = await fleet.clock.runUntilSettled(Promise.all(telling));
-  await fleet.advance(healMs);
-  return { faults: faultsOfSpread(fleet, told), told };
+  await fleet.advance(maxFaultMs);
+  const outcomes = await fleet.clock.runUntilSettled(Promise.all(pending));
+  await fleet.advance(recoveryMs);
+  return { faults: findSpreadFaults(fleet, outcomes), outcomes };
 }
 
 async function runHistories(
@@ -106,10 +106,10 @@
   checksConditions: boolean,
 ): Promise<SpreadHistoriesWorld> {
   const world: SpreadHistoriesWorld = { spreadFaults: [], acceptedChanges: 0, reverts: 0 };
-  const run = fc.asyncProperty(history, async (of) => {
-    const { faults: found, told } = await runHistory(of, checksConditions);
+  const run = fc.asyncProperty(history, async (drawn) => {
+    const { faults: found, outcomes } = await runHistory(drawn, checksConditions);
     world.spreadFaults.push(...found);
-    world.acceptedChanges += told.filter(({ outcome }) => typeof outcome === 'number').length;
+    world.acceptedChanges += outcomes.filter(({ outcome }) => typeof outcome === 'number').length;
   });
   await fc.assert(run, { seed, numRuns: count, endOnFailure: true });
   return world;
