--- a/features/steps/growth.steps.ts
+++ b/features/steps/growth.steps.ts
@@ -55,7 +55,7 @@
 const entryCounts = [10, 100, 700] as const;
 const largestSize = 700;
 const demand = { promptTokens: 0, answerTokens: 0 };
-const idleReport = { running: 0, waiting: 0, pace: 1 };
+const idleReport = { running: 0, waiting: 0, slowdown: 1 };
 
 function measureBySize(measure: (entries: number) => number): Map<number, number> {
   return new Map(entryCounts.map((entries) => [entries, measure(entries)]));
